--- a/crates/hierarchy/src/migration.rs
+++ b/crates/hierarchy/src/migration.rs
@@ -55,7 +55,8 @@
 pub fn rendezvous<'a>(object: u64, weights: impl Iterator<Item = (&'a str, f64)>) -> Option<&'a str> {
     let key = larchway::mix(object);
     let eligible = weights.filter(|(_, weight)| *weight > 0.0);
-    let places = eligible.map(|(name, weight)| (larchway::place(key, endpoint_id(name), weight), name));
+    let places =
+        eligible.map(|(name, weight)| (larchway::rendezvous_rank(key, endpoint_id(name), weight), name));
     places.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1))).map(|(_, name)| name)
 }
 
--- a/gateway/src/core/handover.rs
+++ b/gateway/src/core/handover.rs
@@ -38,6 +38,6 @@
     pub fn record_peer_sends(&mut self, now: MonotonicTime, sent: &[(ServerId, f64)]) {
         let named = |&(server, work_micros): &(ServerId, f64)| SentWork { server, work_micros };
         let sent: Vec<SentWork> = sent.iter().map(named).collect();
-        self.router.sent_elsewhere(now, &sent);
+        self.router.record_work_sent_elsewhere(now, &sent);
     }
 }
--- a/lab/src/trial/spread/mod.rs
+++ b/lab/src/trial/spread/mod.rs
@@ -44,7 +44,7 @@
     let all: f64 = weights.iter().sum();
     for (rank, weight) in (1..=OBJECTS).zip(&weights) {
         let key = larchway::mix(larchway::mix(rank) ^ larchway::mix(1));
-        let place = |store: &usize| larchway::place(key, stores[*store], WORKERS as f64);
+        let place = |store: &usize| larchway::rendezvous_rank(key, stores[*store], WORKERS as f64);
         let first = (0..STORES).min_by(|a, b| place(a).total_cmp(&place(b))).unwrap_or(0);
         loads[first] += weight / all * STORES as f64 * LOAD;
     }
--- a/src/hashing.rs
+++ b/src/hashing.rs
@@ -2,7 +2,7 @@
 
 /// The rank of a server for an object, the least first: weighted rendezvous hashing, so
 /// that a server whose weight grows takes objects from the others and moves none among them.
-pub fn place(key: u64, server: u64, weight: f64) -> f64 {
+pub fn rendezvous_rank(key: u64, server: u64, weight: f64) -> f64 {
     rank_of(unit(key ^ rendezvous_seed(server)), weight)
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -208,7 +208,7 @@
 }
 
 /// Smaller shares count as this one, so that a divisor is finite.
-const LEAST_SHARE: f64 = 1e-6;
+const MIN_SHARE: f64 = 1e-6;
 
 /// How a server warms that has started, and what pushes it over.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -253,8 +253,8 @@
     pub fn quota_divisor(&self, now: MonotonicTime, zone: Option<usize>) -> f64 {
         let shares = self.shares.map(|shares| shares.now(now));
         match (shares, zone) {
-            (Some(shares), None) => 1.0 / shares.of_all.max(LEAST_SHARE),
-            (Some(shares), Some(zone)) if zone == self.zone => 1.0 / shares.of_own_zone.max(LEAST_SHARE),
+            (Some(shares), None) => 1.0 / shares.of_all.max(MIN_SHARE),
+            (Some(shares), Some(zone)) if zone == self.zone => 1.0 / shares.of_own_zone.max(MIN_SHARE),
             (_, None) => self.routers.max(1) as f64,
             (_, Some(zone)) => self.routers_of(zone),
         }
--- a/src/items.rs
+++ b/src/items.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 /// Requests in the order of the table: minutes of traffic of one router, a few MB.
-const MOST_REQUESTS: usize = 50_000;
+const MAX_REQUESTS: usize = 50_000;
 
 /// A part of an object.
 pub(crate) type ItemKey = (ObjectId, u64);
 
-/// The items, at most [`MOST_REQUESTS`]; at the bound those asked for longest ago are forgotten.
+/// The items, at most [`MAX_REQUESTS`]; at the bound those asked for longest ago are forgotten.
 #[derive(Default)]
 pub(crate) struct ItemTable {
     items: BTreeMap<ItemKey, Item>,
@@ -22,9 +22,9 @@
     /// One entry a record of a hit.
     by_server: BTreeSet<(ServerId, ItemKey)>,
     /// Items looked at for servers that have lost their copies, since the table was made.
-    touched: u64,
+    items_examined: u64,
     /// One entry a request, the oldest first; an item goes with the entry of its last request.
-    order: VecDeque<(MonotonicTime, ItemKey)>,
+    requests_by_age: VecDeque<(MonotonicTime, ItemKey)>,
 }
 
 impl ItemTable {
@@ -43,7 +43,7 @@
         if old_group != group || item.seen == 1 {
             self.by_group.insert((group, key));
         }
-        self.order.push_back((now, key));
+        self.requests_by_age.push_back((now, key));
         self.evict();
         work
     }
@@ -76,7 +76,7 @@
     /// Takes an item over, as the one asked for last.
     pub fn insert(&mut self, key: ItemKey, item: Item) {
         self.drop_hits(key);
-        self.order.push_back((item.last, key));
+        self.requests_by_age.push_back((item.last, key));
         self.by_group.insert((item.group, key));
         self.by_server.extend(item.hits.iter().map(|&(server, _)| (server, key)));
         let old = self.items.insert(key, item);
@@ -88,7 +88,8 @@
 
     /// The items, those asked for last first.
     pub fn latest(&self) -> impl Iterator<Item = (ItemKey, &Item)> + '_ {
-        let items = self.order.iter().rev().filter_map(|(at, key)| Some((at, *key, self.items.get(key)?)));
+        let items =
+            self.requests_by_age.iter().rev().filter_map(|(at, key)| Some((at, *key, self.items.get(key)?)));
         items.filter(|(at, _, item)| item.last == **at).map(|(_, key, item)| (key, item))
     }
 
@@ -108,10 +109,10 @@
 
     /// Drops the records of hits at a server that has lost them.
     pub fn forget_server(&mut self, id: ServerId) {
-        let held = self.by_server.range((id, (0, 0))..=(id, (u64::MAX, u64::MAX)));
-        let held: Vec<(ServerId, ItemKey)> = held.copied().collect();
-        self.touched += held.len() as u64;
-        for record in held {
+        let records = self.by_server.range((id, (0, 0))..=(id, (u64::MAX, u64::MAX)));
+        let records: Vec<(ServerId, ItemKey)> = records.copied().collect();
+        self.items_examined += records.len() as u64;
+        for record in records {
             self.by_server.remove(&record);
             let item = self.items.get_mut(&record.1);
             item.into_iter().for_each(|item| item.hits.retain(|&(server, _)| server != id));
@@ -120,8 +121,8 @@
 
     /// Items looked at for servers that have lost their copies, since the table was made.
     #[cfg(test)]
-    fn touched(&self) -> u64 {
-        self.touched
+    fn items_examined(&self) -> u64 {
+        self.items_examined
     }
 
     fn drop_hits(&mut self, key: ItemKey) {
@@ -132,8 +133,8 @@
     }
 
     fn evict(&mut self) {
-        while self.order.len() > MOST_REQUESTS {
-            let Some((at, key)) = self.order.pop_front() else { return };
+        while self.requests_by_age.len() > MAX_REQUESTS {
+            let Some((at, key)) = self.requests_by_age.pop_front() else { return };
             if self.items.get(&key).is_some_and(|item| item.last <= at) {
                 self.remove(key);
             }
--- a/src/items/tests.rs
+++ b/src/items/tests.rs
@@ -36,13 +36,13 @@
 #[test]
 fn what_is_evicted_or_taken_over_leaves_nothing_in_the_index() {
     let mut table = ItemTable::default();
-    for n in 0..MOST_REQUESTS as u64 + 10 {
+    for n in 0..MAX_REQUESTS as u64 + 10 {
         table.count(at(n), (n, 0), n % 3, MEMORY);
     }
-    assert_eq!((table.items.len(), table.by_group.len()), (MOST_REQUESTS, MOST_REQUESTS));
+    assert_eq!((table.items.len(), table.by_group.len()), (MAX_REQUESTS, MAX_REQUESTS));
     assert!(table.get(&(9, 0)).is_none() && table.get(&(10, 0)).is_some());
     table.insert((10, 0), Item { group: 9, last: at(99_999), ..Item::default() });
-    assert_eq!(table.by_group.len(), MOST_REQUESTS);
+    assert_eq!(table.by_group.len(), MAX_REQUESTS);
     assert_eq!(table.latest().next().map(|(key, _)| key), Some((10, 0)));
 }
 
@@ -55,9 +55,9 @@
         table.record_hit((object, 0), object % 100, at(object), MEMORY);
     }
     table.forget_server(1000);
-    assert_eq!(table.touched(), 0, "it never had any");
+    assert_eq!(table.items_examined(), 0, "it never had any");
     table.forget_server(7);
-    assert_eq!(table.touched(), 10);
+    assert_eq!(table.items_examined(), 10);
     assert!((0..1000).all(|object| hits(&table, (object, 0)) == usize::from(object % 100 != 7)));
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,7 +30,7 @@
 mod statistics;
 mod time;
 
-pub use hashing::{mix, place, unit};
+pub use hashing::{mix, rendezvous_rank, unit};
 pub use interface::*;
 pub use logic::{EntriesTouched, Learned, RejectionCounts, Router, SentWork};
 pub use statistics::{miss_chance, Indication, IndicationRates};
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -53,7 +53,7 @@
     /// The servers that requests can go to or be filled from.
     servers: BTreeMap<ServerId, Server>,
     /// The entries of all other servers listed: nothing is learned of them.
-    elsewhere: BTreeMap<ServerId, Host>,
+    unreachable: BTreeMap<ServerId, Host>,
     /// Work (µs) sent to servers that were retired within the span in which it counts towards a fall: at most
     /// those that were listed in that time.
     work_of_retired: BTreeMap<ServerId, SlidingSum>,
@@ -66,11 +66,11 @@
     /// By class, what slow start budgets go by where sizes are not stated.
     unsized_work: Vec<UnsizedWork>,
     /// Work (µs) that pushes over the smallest server listed that has just started.
-    least_cold_budget: f64,
+    min_cold_budget: f64,
     /// Microseconds: the aged miss penalty.
     penalty: DecayingMean,
     /// Share of fills that parents and origin failed to bring in time, all taken together.
-    unfilled: f64,
+    failed_fill_share: f64,
     /// Attempts in flight.
     in_flight: DecayingLevel,
     /// Attempts in flight that are likely to take the location's link.
@@ -80,9 +80,9 @@
     /// Transfers on it over those that fit at full pace, as its caches report.
     link_load_report: DecayingReport,
     /// Caches of the own location.
-    caches: f64,
+    own_caches_up: f64,
     /// Whether a timer is set.
-    wake: bool,
+    timer_set: bool,
     /// Whether watch events of the endpoint list were asked for.
     watching: bool,
     parent_weights: Option<ParentWeights>,
@@ -99,7 +99,7 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let work = vec![DecayingMean::default(); settings.classes.len()];
         let unsized_work = vec![UnsizedWork::default(); settings.classes.len()];
-        Router { settings, seed, work, unsized_work, least_cold_budget: f64::MAX, ..Router::default() }
+        Router { settings, seed, work, unsized_work, min_cold_budget: f64::MAX, ..Router::default() }
     }
 
     /// Puts settings in the place of those in force. `replaced`: classes that are new or have changed slots.
@@ -107,14 +107,15 @@
         self.settle_recent_work(replaced);
         carry_over(&mut self.work, settings.classes.len(), replaced);
         carry_over(&mut self.unsized_work, settings.classes.len(), replaced);
-        let sorted_by = |s: &Settings| (s.zone, s.router_index, s.weighted, s.parent_kind, s.origin_kind);
-        let sorted = sorted_by(&settings) == sorted_by(&self.settings);
+        let classification_of =
+            |s: &Settings| (s.zone, s.router_index, s.weighted, s.parent_kind, s.origin_kind);
+        let same_classification = classification_of(&settings) == classification_of(&self.settings);
         self.settings = settings;
-        if !sorted {
+        if !same_classification {
             self.find_reachable();
             self.classify_servers();
         }
-        self.least_cold_budget = self.find_least_cold_budget();
+        self.min_cold_budget = self.find_min_cold_budget();
         self.count_caches();
     }
 
@@ -140,13 +141,13 @@
                 self.servers.get_mut(&id).into_iter().for_each(Server::record_reported_failure);
             }
             Event::StartsDated(starts) => self.on_starts_dated(&starts),
-            Event::PurgesMissed => self.purges.miss(now + self.settings.purge_done),
+            Event::PurgesMissed => self.purges.record_missed(now + self.settings.purge_done),
             Event::Purged { age, group, object } => {
                 self.on_purge(now.saturating_sub(age), PurgeTarget::new(object, group));
             }
         }
-        if !self.wake && !self.open.is_empty() {
-            self.wake = true;
+        if !self.timer_set && !self.open.is_empty() {
+            self.timer_set = true;
             actions.push(Action::Timer { at: now + CHECK_INTERVAL, mark: 0 });
         }
     }
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -25,7 +25,7 @@
 /// Share of the fills that is withheld at the most.
 const WITHHELD_LIMIT: f64 = 0.97;
 /// Weight of the newest fill in the share of fills that fail.
-pub(super) const UNFILLED_WEIGHT: f64 = 0.3;
+pub(super) const FAILED_FILL_WEIGHT: f64 = 0.3;
 /// Share of the latency objective from which a fill counts as too late: what is requested next waits longer
 /// than what has come.
 pub(super) const LATE_FILL_SHARE: f64 = 0.55;
@@ -36,7 +36,7 @@
 impl OpenRequest {
     /// Danger: sizes vary widely, so a mean above the client's patience is no reason to give up.
     pub(super) fn min_work(&self) -> f64 {
-        match (self.attempts.is_empty() && !self.sized, self.known) {
+        match (self.attempts.is_empty() && !self.sized, self.work_known) {
             (false, _) => self.work,
             (_, true) => KNOWN_MIN_WORK_SHARE * self.work,
             _ => UNKNOWN_MIN_WORK_SHARE * self.work,
@@ -62,8 +62,14 @@
             work = req.size_kb / self.settings.flow_kb_per_s * 1e6;
             self.work[req.class].add(work, OBSERVATION_WEIGHT);
         }
-        let open =
-            OpenRequest { req, arrived: now, work, sized, known: known.is_some(), ..OpenRequest::default() };
+        let open = OpenRequest {
+            req,
+            arrived: now,
+            work,
+            sized,
+            work_known: known.is_some(),
+            ..OpenRequest::default()
+        };
         self.open.insert(id, open);
         self.advance(id, actions);
     }
@@ -72,10 +78,10 @@
     pub(super) fn give_up(&mut self, id: RequestId, retry_after: Duration, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let class = &self.settings.classes[open.req.class];
-        let dropped = class.effect == Effect::IdempotencyKey && class.group == Group::All;
-        let harmless = open.first_run.is_none() || class.effect == Effect::Idempotent || dropped;
+        let repeats_dropped = class.effect == Effect::IdempotencyKey && class.group == Group::All;
+        let safe_to_retry = open.first_run.is_none() || class.effect == Effect::Idempotent || repeats_dropped;
         let retry_after = retry_after.min(self.settings.limits_of(open.req.class).max_retry_after);
-        actions.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
+        actions.push(if safe_to_retry { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
         self.close(id, actions);
     }
 
@@ -112,24 +118,24 @@
     /// Danger: in a jam of a cache or of the location's link, all slow down until none is in time. What
     /// can't be is declined at once, before it takes room from what can. Harm: a late answer earns a little.
     pub(super) fn in_time(&self, open: &OpenRequest, class: &Class, edge: f64, miss: f64) -> bool {
-        let guess = self.link_flows.map_or(1.0, |flows| (self.link_load() + 1.0) / flows);
-        let link = self.link_load_report.or(guess, self.now, LOAD_REPORT_SPAN);
+        let estimate = self.link_flows.map_or(1.0, |flows| (self.link_load() + 1.0) / flows);
+        let link = self.link_load_report.or(estimate, self.now, LOAD_REPORT_SPAN);
         let objective = class.latency_objective_of(open.work)
             * if open.sized { SIZED_OBJECTIVE_SHARE } else { UNSIZED_OBJECTIVE_SHARE };
         let stretch = edge + miss * (link - edge).max(0.0);
-        let least = open.min_work() * stretch
+        let min_time = open.min_work() * stretch
             + miss * self.penalty.or(INITIAL_MISS_PENALTY).min(INITIAL_MISS_PENALTY);
         // Danger: what is too large to be in time even alone is declined on the quietest day.
         stretch <= if open.work > objective { CROWDED_STRETCH } else { objective / open.work.max(1.0) }
-            && least <= micros_f64(open.req.ttl)
+            && min_time <= micros_f64(open.req.ttl)
             || open.attempts.iter().any(|a| a.choice.link || a.choice.positive.edge)
     }
 
     /// Danger: when origin or parents can do no more, retries and new fetches keep them there, and neighbours
     /// follow. Fills are withheld by the share that fails, none is tried again. Harm: one would have come.
-    pub(super) fn withheld(&self, open: &OpenRequest) -> bool {
-        let share = (1.0 - OVERLOAD_RATIO * (1.0 - self.unfilled)).min(WITHHELD_LIMIT);
-        let again = open.attempts.iter().any(|a| a.source_failed && !a.choice.sibling);
-        open.req.spare_origin || share > 0.0 && (again || unit(self.seed ^ mix(open.req.id)) < share)
+    pub(super) fn withholds_fill(&self, open: &OpenRequest) -> bool {
+        let share = (1.0 - OVERLOAD_RATIO * (1.0 - self.failed_fill_share)).min(WITHHELD_LIMIT);
+        let source_failed = open.attempts.iter().any(|a| a.source_failed && !a.choice.sibling);
+        open.req.spare_origin || share > 0.0 && (source_failed || unit(self.seed ^ mix(open.req.id)) < share)
     }
 }
--- a/src/logic/candidates.rs
+++ b/src/logic/candidates.rs
@@ -22,8 +22,8 @@
     pub origins: BTreeSet<ServerId>,
     /// Parents by the weights of a shape of the hierarchy now, and before its present move. Some may not be
     /// listed.
-    pub shaped: Ring,
-    pub shaped_before: Ring,
+    pub weighted_parents: Ring,
+    pub former_weighted_parents: Ring,
     /// Servers of which it was learned how many transfers they carry.
     pub measured: BTreeSet<ServerId>,
     /// Servers that have shown something as the source of a sibling's fill.
@@ -76,13 +76,13 @@
 
     /// Places drawn since the start.
     pub fn drawn(&self) -> u64 {
-        let rings = [&self.own, &self.parents, &self.shaped, &self.shaped_before];
+        let rings = [&self.own, &self.parents, &self.weighted_parents, &self.former_weighted_parents];
         rings.iter().map(|ring| ring.drawn()).sum::<u64>() + self.subset.drawn()
     }
 }
 
 /// The ring of a shape's weights: the first above 0 of each server.
-fn shaped(weights: &[ServerWeight]) -> Ring {
+fn ring_of_weights(weights: &[ServerWeight]) -> Ring {
     let mut ring = Ring::default();
     for &ServerWeight { server, weight } in weights.iter().rev().filter(|entry| entry.weight > 0.0) {
         ring.set(server, weight);
@@ -131,9 +131,10 @@
 
     /// Takes over the weights of parents.
     pub(super) fn set_parent_weights(&mut self, weights: Option<&ParentWeights>) {
-        self.candidates.shaped = weights.map_or_else(Ring::default, |weights| shaped(&weights.weights));
-        self.candidates.shaped_before =
-            weights.map_or_else(Ring::default, |weights| shaped(&weights.previous));
+        self.candidates.weighted_parents =
+            weights.map_or_else(Ring::default, |weights| ring_of_weights(&weights.weights));
+        self.candidates.former_weighted_parents =
+            weights.map_or_else(Ring::default, |weights| ring_of_weights(&weights.previous));
     }
 
     /// A listed server, looked at for a decision.
--- a/src/logic/choice.rs
+++ b/src/logic/choice.rs
@@ -4,7 +4,7 @@
 use super::ring::Ring;
 use super::server::Server;
 use super::state::{
-    Attempt, EdgeCost, Indicator, OpenRequest, Wanted, HIT_RECORD_LIFETIME, INITIAL_ACCESS_COST,
+    Attempt, EdgeCost, Indicator, OpenRequest, SiblingQuery, HIT_RECORD_LIFETIME, INITIAL_ACCESS_COST,
     INITIAL_FALSE_NEGATIVES, INITIAL_FALSE_POSITIVES, INITIAL_MISS_PENALTY, INITIAL_POSITIVES,
 };
 use super::Router;
@@ -50,63 +50,67 @@
         let failed =
             |s: &Server| open.attempts.iter().any(|a| a.source_failed && a.choice.source == s.host.server);
         let fit = |s: &Server| self.usable(s, work) && !failed(s);
-        let ring =
-            if self.parent_weights.is_some() { &self.candidates.shaped } else { &self.candidates.parents };
+        let ring = if self.parent_weights.is_some() {
+            &self.candidates.weighted_parents
+        } else {
+            &self.candidates.parents
+        };
         let parent = self.first_parent(ring, object, fit).map(|first| {
             // Danger: a parent whose link is full slows all its fills while its like stand idle. Part of its
             // objects go to their next ranked parents, the same from all routers: the more, the fuller it is.
-            let over = |s: &Server| 1.0 - CROWDED_STRETCH * s.pace(now) / first.pace(now);
-            let spill = unit(mix(object) ^ first.host.server);
-            let next = |s: &Server| s.host.server != first.host.server && spill < over(s) && fit(s);
+            let spill_share = |s: &Server| 1.0 - CROWDED_STRETCH * s.pace(now) / first.pace(now);
+            let draw = unit(mix(object) ^ first.host.server);
+            let next = |s: &Server| s.host.server != first.host.server && draw < spill_share(s) && fit(s);
             // No pace is under 1, so that none is over before.
-            let full = first.pace(now) > CROWDED_STRETCH;
-            full.then(|| self.first_parent(ring, object, next)).flatten().unwrap_or(first)
+            let link_full = first.pace(now) > CROWDED_STRETCH;
+            link_full.then(|| self.first_parent(ring, object, next)).flatten().unwrap_or(first)
         });
         parent.or_else(|| self.origin(work).filter(|s| fit(s))).map(|s| s.host.server)
     }
 
     /// The sibling by which a request at an edge cache costs least, if that is no more than `most`; of those
     /// that cost the same the first by hash.
-    fn sibling_for(&self, wanted: &Wanted, edge: &EdgeCost, most: f64) -> Option<(f64, ServerId)> {
-        let mut best = (most, None);
+    fn sibling_for(&self, query: &SiblingQuery, edge: &EdgeCost, max_cost: f64) -> Option<(f64, ServerId)> {
+        let mut best = (max_cost, None);
         let own = &self.candidates.own;
-        let place = |id| own.place(wanted.key, id).unwrap_or(f64::INFINITY);
+        let place = |id| own.place(query.key, id).unwrap_or(f64::INFINITY);
         let before = |id: ServerId, other: Option<ServerId>| {
             other.is_none_or(|other| (place(id), id) < (place(other), other))
         };
-        let lends = |s: &Server| {
-            let can = s.host.server != edge.server && self.usable(s, wanted.mean);
-            can && self.warm_share(s) >= 1.0 && self.is_own(s)
+        let can_supply = |s: &Server| {
+            let usable = s.host.server != edge.server && self.usable(s, query.budget_work);
+            usable && self.warm_share(s) >= 1.0 && self.is_own(s)
         };
         let better = |cost: f64, id, best: (f64, Option<ServerId>)| {
             cost < best.0 || cost == best.0 && before(id, best.1)
         };
-        for &id in self.candidates.observed_sources.iter().chain(wanted.holders) {
+        for &id in self.candidates.observed_sources.iter().chain(query.holders) {
             let Some(s) = self.examine(id) else { continue };
-            let lacks = miss_chance(
+            let miss = miss_chance(
                 self.indication_rates(&s.roles.source, Role::Source),
-                Indication::from_record(wanted.holders.contains(&id)),
+                Indication::from_record(query.holders.contains(&id)),
             );
             // What it costs at the least, whatever its load, mostly shows that it costs too much.
-            if edge.with(s.roles.source.cost.or(INITIAL_ACCESS_COST), lacks) > best.0 || !lends(s) {
+            if edge.with_source(s.roles.source.cost.or(INITIAL_ACCESS_COST), miss) > best.0 || !can_supply(s)
+            {
                 continue;
             }
-            let cost = edge.with(self.cost(s, Role::Source, wanted.work), lacks);
+            let cost = edge.with_source(self.cost(s, Role::Source, query.work), miss);
             if better(cost, id, best) {
                 best = (cost, Some(id));
             }
         }
         // All others have shown nothing: they cost the same, but for their load.
-        let lacks =
+        let miss =
             miss_chance(self.indication_rates(&Indicator::default(), Role::Source), Indication::Negative);
-        let least = edge.with(INITIAL_ACCESS_COST, lacks);
+        let min_cost = edge.with_source(INITIAL_ACCESS_COST, miss);
         let unobserved =
-            |s: &Server| !s.roles.source.is_observed() && !wanted.holders.contains(&s.host.server);
-        let cost = |s: &Server| edge.with(self.cost(s, Role::Source, wanted.work), lacks);
-        if least <= best.0 {
-            let idle = self.first(own, wanted.key, |s| unobserved(s) && cost(s) <= least && lends(s));
+            |s: &Server| !s.roles.source.is_observed() && !query.holders.contains(&s.host.server);
+        let cost = |s: &Server| edge.with_source(self.cost(s, Role::Source, query.work), miss);
+        if min_cost <= best.0 {
+            let idle = self.first(own, query.key, |s| unobserved(s) && cost(s) <= min_cost && can_supply(s));
             let all = own.ids().filter(|_| idle.is_none()).filter_map(|id| self.examine(id));
-            for s in all.chain(idle).filter(|s| unobserved(s) && lends(s)) {
+            for s in all.chain(idle).filter(|s| unobserved(s) && can_supply(s)) {
                 if better(cost(s), s.host.server, best) {
                     best = (cost(s), Some(s.host.server));
                 }
@@ -122,19 +126,20 @@
         let key = mix(open.req.object ^ mix(open.req.part + 1));
         let origin = class.uncacheable.then(|| self.origin(mean)).flatten().map(|s| s.host.server);
         let parent = origin.or_else(|| self.parent_for(open, mean));
-        let able = |s: &Server| self.usable(s, mean) && may_get(open, s) && self.in_group(open, class, s);
-        let caches = self.edge_candidates(key, able);
-        let Some(nearest) = self.first(caches, key, able) else {
+        let eligible =
+            |s: &Server| self.usable(s, mean) && may_attempt(open, s) && self.in_group(open, class, s);
+        let caches = self.edge_candidates(key, eligible);
+        let Some(nearest) = self.first(caches, key, eligible) else {
             return self.choose_without_cache(open, class, parent);
         };
-        let default = self.default_edge(caches, key, nearest, able);
+        let default = self.default_edge(caches, key, nearest, eligible);
         if class.uncacheable {
             return Some(self.plain_choice(open, default.host.server, parent?));
         }
         let holders = self.holders(&open.req);
-        let wanted = Wanted { key, work: open.work, mean, holders: &holders };
-        let edges = self.possible_edges(caches, &wanted, default, able);
-        let (choice, miss) = self.cheapest(open, &wanted, &edges, parent);
+        let query = SiblingQuery { key, work: open.work, budget_work: mean, holders: &holders };
+        let edges = self.possible_edges(caches, &query, default, eligible);
+        let (choice, miss) = self.cheapest(open, &query, &edges, parent);
         self.choose_fill(open, class, choice, miss)
     }
 
@@ -165,30 +170,30 @@
         let server = parent.filter(|_| self.settings.direct)?;
         let source = self.origin(self.mean_work(open)).map_or(server, |origin| origin.host.server);
         let accepts = |s: &Server| {
-            may_get(open, s) && self.in_group(open, class, s) && self.in_time(open, class, 1.0, 1.0)
+            may_attempt(open, s) && self.in_group(open, class, s) && self.in_time(open, class, 1.0, 1.0)
         };
         let accepted = self.servers.get(&server).is_some_and(accepts);
         accepted.then(|| self.plain_choice(open, server, source))
     }
 
     /// Danger: of many routers each sees too little to know which cache the hash gives more than its like.
-    fn sheds(&self, key: u64, id: ServerId) -> bool {
+    fn offloads(&self, key: u64, id: ServerId) -> bool {
         unit(key ^ mix(id ^ self.seed)) < self.offload_shares.get(&id).map_or(0.0, |share| *share)
     }
 
     /// The caches that a request may go to: the router's subset, or all of the location. Danger: a subset
     /// that has failed, but for single trials, is cold or has too much to do keeps its requests while other
     /// caches idle. Harm: each of these takes a connection.
-    fn edge_candidates(&self, key: u64, able: impl Fn(&Server) -> bool) -> &Ring {
+    fn edge_candidates(&self, key: u64, eligible: impl Fn(&Server) -> bool) -> &Ring {
         let all = &self.candidates.own;
         let Some(subset) = self.candidates.subset.members() else { return all };
         let members = || subset.ids().filter_map(|id| self.examine(id));
-        let has_room = |s: &Server| able(s) && s.backoff.is_zero() && !self.is_saturated(s);
+        let has_room = |s: &Server| eligible(s) && s.backoff.is_zero() && !self.is_saturated(s);
         if members().any(has_room) {
             return subset;
         }
         let others_have_room = self.first(all, key, has_room).is_some();
-        if !others_have_room && members().any(able) {
+        if !others_have_room && members().any(eligible) {
             return subset;
         }
         all
@@ -200,19 +205,19 @@
         caches: &Ring,
         key: u64,
         nearest: &'a Server,
-        able: impl Fn(&Server) -> bool,
+        eligible: impl Fn(&Server) -> bool,
     ) -> &'a Server {
         // What the least busy of all that are able has: needed only where one is busy.
         let least_busy = OnceCell::new();
-        let quiet = || {
-            let fit = caches.ids().filter_map(|id| self.examine(id)).filter(|s| able(s));
+        let find_least_busy = || {
+            let fit = caches.ids().filter_map(|id| self.examine(id)).filter(|s| eligible(s));
             fit.map(|s| self.stretch(s)).fold(f64::MAX, f64::min)
         };
         let crowded = |s: &Server| {
             let stretch = self.stretch(s);
-            stretch > CROWDED_STRETCH && stretch > 2.0 * *least_busy.get_or_init(quiet)
+            stretch > CROWDED_STRETCH && stretch > 2.0 * *least_busy.get_or_init(find_least_busy)
         };
-        let free = |s: &Server| !self.sheds(key, s.host.server) && able(s) && !crowded(s);
+        let free = |s: &Server| !self.offloads(key, s.host.server) && eligible(s) && !crowded(s);
         let default = if free(nearest) { Some(nearest) } else { self.first(caches, key, free) };
         default.unwrap_or(nearest)
     }
@@ -221,15 +226,15 @@
     fn possible_edges<'a>(
         &'a self,
         caches: &Ring,
-        wanted: &Wanted,
+        query: &SiblingQuery,
         default: &'a Server,
-        able: impl Fn(&Server) -> bool,
+        eligible: impl Fn(&Server) -> bool,
     ) -> Vec<&'a Server> {
-        let of_record = |id: &ServerId| *id != default.host.server && !self.sheds(wanted.key, *id);
-        let held = wanted.holders.iter().filter(|id| of_record(id)).filter_map(|id| self.examine(*id));
-        let among = |s: &&Server| caches.contains(s.host.server) && able(s);
+        let is_other_holder = |id: &ServerId| *id != default.host.server && !self.offloads(query.key, *id);
+        let held = query.holders.iter().filter(|id| is_other_holder(id)).filter_map(|id| self.examine(*id));
+        let among = |s: &&Server| caches.contains(s.host.server) && eligible(s);
         let mut edges: Vec<&Server> = held.filter(among).chain([default]).collect();
-        let place = |s: &Server| caches.place(wanted.key, s.host.server).unwrap_or(f64::INFINITY);
+        let place = |s: &Server| caches.place(query.key, s.host.server).unwrap_or(f64::INFINITY);
         edges.sort_by(|a, b| place(a).total_cmp(&place(b)).then(a.host.server.cmp(&b.host.server)));
         edges
     }
@@ -238,31 +243,32 @@
     fn cheapest(
         &self,
         open: &OpenRequest,
-        wanted: &Wanted,
+        query: &SiblingQuery,
         edges: &[&Server],
         parent: Option<ServerId>,
     ) -> (Choice, f64) {
         let penalty = self.penalty.or(INITIAL_MISS_PENALTY);
         // Danger: with a dear miss any sibling seems to pay, and requests wander from one to the next.
-        let none = self.settings.siblings == Siblings::None || open.attempts.iter().any(|a| a.choice.sibling);
+        let no_sibling =
+            self.settings.siblings == Siblings::None || open.attempts.iter().any(|a| a.choice.sibling);
         let mut best = (f64::MAX, Choice::default(), 1.0);
         for edge in edges {
             let id = edge.host.server;
-            let positive = wanted.holders.contains(&id);
+            let positive = query.holders.contains(&id);
             let rates = self.indication_rates(&edge.roles.edge, Role::Edge);
-            let rho = miss_chance(rates, Indication::from_record(positive));
-            let at = self.cost(edge, Role::Edge, wanted.work);
-            let expected = wanted.work + at + if positive { 0.0 } else { penalty };
-            let terms = EdgeCost { server: id, at, miss: penalty * rho };
-            let alone = terms.with(0.0, 1.0);
-            let sibling = if none { None } else { self.sibling_for(wanted, &terms, alone) };
+            let edge_miss_chance = miss_chance(rates, Indication::from_record(positive));
+            let access = self.cost(edge, Role::Edge, query.work);
+            let expected = query.work + access + if positive { 0.0 } else { penalty };
+            let edge_cost = EdgeCost { server: id, access, miss: penalty * edge_miss_chance };
+            let alone = edge_cost.with_source(0.0, 1.0);
+            let sibling = if no_sibling { None } else { self.sibling_for(query, &edge_cost, alone) };
             let (cost, source) = sibling.unwrap_or((alone, parent.unwrap_or(id)));
             if cost < best.0 {
-                let known = sibling.is_some() && wanted.holders.contains(&source);
+                let source_recorded = sibling.is_some() && query.holders.contains(&source);
                 let (sibling, link, positive) =
-                    (sibling.is_some(), !positive, PerRole { edge: positive, source: known });
+                    (sibling.is_some(), !positive, PerRole { edge: positive, source: source_recorded });
                 let plain = self.plain_choice(open, id, source);
-                best = (cost, Choice { sibling, link, positive, expected, ..plain }, rho);
+                best = (cost, Choice { sibling, link, positive, expected, ..plain }, edge_miss_chance);
             }
         }
         (best.1, best.2)
@@ -278,39 +284,40 @@
         let stretch = self.servers.get(&choice.edge).map_or(1.0, |s| self.stretch(s));
         // Danger: while fills are withheld, what parents hold would be lost with the origin, and copies here
         // may be too old. Parents are asked for what they hold, once, and fetch nothing for it.
-        let cached_only = !choice.sibling && choice.source != choice.edge && self.withheld(open);
+        let cached_only = !choice.sibling && choice.source != choice.edge && self.withholds_fill(open);
         let parent = self.servers.get(&choice.source).map(|s| s.host.kind) == self.settings.parent_kind;
-        let old = self.home_before(open, self.mean_work(open));
-        let old = old.filter(|old| parent && !cached_only && *old != choice.source);
-        if let Some(source) = old.filter(|_| !choice.sibling && self.in_time(open, class, stretch, miss)) {
+        let former = self.former_home(open, self.mean_work(open));
+        let former = former.filter(|former_home| parent && !cached_only && *former_home != choice.source);
+        if let Some(source) = former.filter(|_| !choice.sibling && self.in_time(open, class, stretch, miss)) {
             return Some(Choice { source, cached_only: true, ..choice });
         }
-        let barred = cached_only && (!parent || open.attempts.iter().any(|a| a.choice.cached_only));
-        if !barred && self.in_time(open, class, stretch, miss) {
+        let fill_barred = cached_only && (!parent || open.attempts.iter().any(|a| a.choice.cached_only));
+        if !fill_barred && self.in_time(open, class, stretch, miss) {
             return Some(Choice { cached_only, ..choice });
         }
         // Where only the fill is too slow or withheld, a look still finds what the cache holds.
-        let look = Choice { source: choice.edge, sibling: false, link: false, ..choice };
-        (open.attempts.is_empty() && self.in_time(open, class, stretch, 0.0)).then_some(look)
+        let edge_only = Choice { source: choice.edge, sibling: false, link: false, ..choice };
+        (open.attempts.is_empty() && self.in_time(open, class, stretch, 0.0)).then_some(edge_only)
     }
 
     /// Danger: objects whose home moves are all missing at the new one, and the origin gets every fill. The
     /// home of before is asked first for what it holds. Harm: one way more for what it does not.
-    fn home_before(&self, open: &OpenRequest, work: f64) -> Option<ServerId> {
-        let asked = |h: &&ParentWeights| {
+    fn former_home(&self, open: &OpenRequest, work: f64) -> Option<ServerId> {
+        let still_asked = |h: &&ParentWeights| {
             unit(mix(open.req.object) ^ 1) <= h.previous_share && open.attempts.is_empty()
         };
-        self.parent_weights.as_ref().filter(asked)?;
-        let home =
-            self.first_parent(&self.candidates.shaped_before, open.req.object, |s| self.usable(s, work));
+        self.parent_weights.as_ref().filter(still_asked)?;
+        let home = self.first_parent(&self.candidates.former_weighted_parents, open.req.object, |s| {
+            self.usable(s, work)
+        });
         home.map(|s| s.host.server)
     }
 }
 
 /// Whether no attempt of the request at this server as its edge cache is in flight or has failed there.
-fn may_get(open: &OpenRequest, server: &Server) -> bool {
-    let spent = |attempt: &Attempt| attempt.edge_failed || !attempt.done;
-    !open.attempts.iter().any(|attempt| attempt.choice.edge == server.host.server && spent(attempt))
+fn may_attempt(open: &OpenRequest, server: &Server) -> bool {
+    let unavailable = |attempt: &Attempt| attempt.edge_failed || !attempt.done;
+    !open.attempts.iter().any(|attempt| attempt.choice.edge == server.host.server && unavailable(attempt))
 }
 
 #[cfg(test)]
--- a/src/logic/choice/tests.rs
+++ b/src/logic/choice/tests.rs
@@ -1,7 +1,7 @@
 //! The choice against the plain walk over all servers listed, which is obviously right, and what the choice
 //! touches.
 use super::*;
-use crate::hashing::{place, rendezvous_seed};
+use crate::hashing::{rendezvous_rank, rendezvous_seed};
 use crate::logic::subset::SUBSET_SIZE;
 use crate::statistics::mean;
 use crate::time::MonotonicTime;
@@ -20,7 +20,8 @@
         key: u64,
         servers: impl Iterator<Item = (&'a Server, f64)>,
     ) -> Vec<&'a Server> {
-        let mut all: Vec<_> = servers.map(|(s, weight)| (place(key, s.host.server, weight), s)).collect();
+        let mut all: Vec<_> =
+            servers.map(|(s, weight)| (rendezvous_rank(key, s.host.server, weight), s)).collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.host.server.cmp(&b.1.host.server)));
         all.into_iter().map(|(_, s)| s).collect()
     }
@@ -137,9 +138,9 @@
         }
         let quiet = fit.iter().map(|s| self.stretch(s)).fold(f64::MAX, f64::min);
         let crowded = |s: &Server| self.stretch(s) > CROWDED_STRETCH.max(2.0 * quiet);
-        let sheds =
+        let offloads =
             |id: ServerId| unit(key ^ mix(id ^ self.seed)) < self.offload_shares.get(&id).map_or(0.0, |s| *s);
-        let default = fit.iter().copied().find(|s| !crowded(s) && !sheds(s.host.server)).unwrap_or(fit[0]);
+        let default = fit.iter().copied().find(|s| !crowded(s) && !offloads(s.host.server)).unwrap_or(fit[0]);
         if class.uncacheable {
             return Some(plain(default.host.server, parent?));
         }
@@ -149,11 +150,11 @@
         let mut best = (f64::MAX, Choice::default(), 1.0);
         for &edge in &fit {
             let positive = self.plain_recorded(req, edge.host.server);
-            if edge.host.server != default.host.server && (!positive || sheds(edge.host.server)) {
+            if edge.host.server != default.host.server && (!positive || offloads(edge.host.server)) {
                 continue;
             }
             let rates = self.indication_rates(&edge.roles.edge, Role::Edge);
-            let rho = miss_chance(rates, Indication::from_record(positive));
+            let edge_miss_chance = miss_chance(rates, Indication::from_record(positive));
             let at = self.cost(edge, Role::Edge, work);
             let expected = work + at + if positive { 0.0 } else { penalty };
             let id = edge.host.server;
@@ -167,15 +168,19 @@
                     }
                     None => (0.0, 1.0, parent.unwrap_or(id), false),
                 };
-                let (cost, sibling) = (at + more + penalty * rho * lacks, other.is_some());
+                let (cost, sibling) = (at + more + penalty * edge_miss_chance * lacks, other.is_some());
                 if cost < best.0 {
                     let (link, positive) = (!positive, PerRole { edge: positive, source: known });
-                    best = (cost, Choice { sibling, link, positive, expected, ..plain(id, source) }, rho);
+                    best = (
+                        cost,
+                        Choice { sibling, link, positive, expected, ..plain(id, source) },
+                        edge_miss_chance,
+                    );
                 }
             }
         }
-        let (_, choice, rho) = best;
-        self.plain_choose_fill(open, class, choice, rho)
+        let (_, choice, edge_miss_chance) = best;
+        self.plain_choose_fill(open, class, choice, edge_miss_chance)
     }
 
     fn plain_choose_fill(
@@ -183,28 +188,30 @@
         open: &OpenRequest,
         class: &Class,
         choice: Choice,
-        rho: f64,
+        edge_miss_chance: f64,
     ) -> Option<Choice> {
         if choice.source == choice.edge && open.attempts.iter().any(|a| a.choice.edge == choice.edge) {
             return None;
         }
         let stretch = self.servers.get(&choice.edge).map_or(1.0, |s| self.stretch(s));
-        let cached_only = !choice.sibling && choice.source != choice.edge && self.withheld(open);
+        let cached_only = !choice.sibling && choice.source != choice.edge && self.withholds_fill(open);
         let parent = self.servers.get(&choice.source).map(|s| s.host.kind) == self.settings.parent_kind;
-        let old = self.plain_home_before(open, self.mean_work(open));
+        let old = self.plain_former_home(open, self.mean_work(open));
         let old = old.filter(|old| parent && !cached_only && *old != choice.source);
-        if let Some(source) = old.filter(|_| !choice.sibling && self.in_time(open, class, stretch, rho)) {
+        if let Some(source) =
+            old.filter(|_| !choice.sibling && self.in_time(open, class, stretch, edge_miss_chance))
+        {
             return Some(Choice { source, cached_only: true, ..choice });
         }
         let barred = cached_only && (!parent || open.attempts.iter().any(|a| a.choice.cached_only));
-        if !barred && self.in_time(open, class, stretch, rho) {
+        if !barred && self.in_time(open, class, stretch, edge_miss_chance) {
             return Some(Choice { cached_only, ..choice });
         }
         let look = Choice { source: choice.edge, sibling: false, link: false, ..choice };
         (open.attempts.is_empty() && self.in_time(open, class, stretch, 0.0)).then_some(look)
     }
 
-    fn plain_home_before(&self, open: &OpenRequest, work: f64) -> Option<ServerId> {
+    fn plain_former_home(&self, open: &OpenRequest, work: f64) -> Option<ServerId> {
         let asked = |h: &&ParentWeights| {
             unit(mix(open.req.object) ^ 1) <= h.previous_share && open.attempts.is_empty()
         };
@@ -290,7 +297,7 @@
     draws: &mut Draws,
     (id, attempt, sent): (u64, u64, MonotonicTime),
     now: MonotonicTime,
-    kindly: u64,
+    served_percent: u64,
 ) -> Event {
     const FAILED: [Status; 8] = [
         Status::Error,
@@ -305,7 +312,7 @@
     const SERVED: [Note; 4] = [Note::Hit, Note::Hit, Note::Filled, Note::Stale];
     const FAULT: [Note; 5] =
         [Note::None, Note::SourceRefused, Note::SourceLost, Note::SourceLacks, Note::OriginFailed];
-    let served = draws.percent(kindly);
+    let served = draws.percent(served_percent);
     let (status, note) =
         if served { (Status::Ok, draws.of(&SERVED)) } else { (draws.of(&FAILED), draws.of(&FAULT)) };
     let (latency, waited) =
@@ -320,7 +327,7 @@
     draws: Draws,
     servers: u64,
     /// Share of the attempts that are served, in percent.
-    kindly: u64,
+    served_percent: u64,
     settings: Settings,
     router: Router,
     now: MonotonicTime,
@@ -337,13 +344,13 @@
         let settings = drawn_settings(&mut draws);
         let mut router = Router::new(settings.clone(), seed);
         let (servers, now) = (draws.of(sizes), MonotonicTime::from_micros(100_000_000));
-        let kindly = draws.of(&[20, 60, 95]);
+        let served_percent = draws.of(&[20, 60, 95]);
         let hosts = (0..servers).map(|_| drawn_host(&mut draws, servers, now)).collect();
         let members = Members { scope: Scope::Full, hosts };
         router.handle(now, Event::Members(members.clone()), &mut Vec::new());
         let (in_flight, attempts, listed) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
         let mut history =
-            History { draws, servers, kindly, settings, router, now, in_flight, attempts, listed };
+            History { draws, servers, served_percent, settings, router, now, in_flight, attempts, listed };
         history.merge(&members);
         history
     }
@@ -373,7 +380,7 @@
                 assert_eq!(known, Some(host), "seed {seed}, step {step}");
             }
             // What was learned before the settings changed stays.
-            assert_eq!(known.or(router.elsewhere.get(id)), Some(host), "seed {seed}, step {step}");
+            assert_eq!(known.or(router.unreachable.get(id)), Some(host), "seed {seed}, step {step}");
         }
     }
 
@@ -414,7 +421,7 @@
             57..=550 if !self.in_flight.is_empty() => {
                 let at = draws.below(self.in_flight.len() as u64) as usize;
                 let attempt = self.in_flight.swap_remove(at);
-                drawn_end(draws, attempt, now, self.kindly)
+                drawn_end(draws, attempt, now, self.served_percent)
             }
             _ => Event::Request(Request {
                 id: step,
@@ -468,7 +475,7 @@
         }
         let up = |s: &&Server| router.is_own(s) && s.host.state == State::Up;
         let caches = router.servers.values().filter(up).count().max(1);
-        assert_eq!(router.caches, caches as f64, "seed {seed}, step {step}");
+        assert_eq!(router.own_caches_up, caches as f64, "seed {seed}, step {step}");
         let waiting: Vec<&OpenRequest> = router.open.values().filter(|open| !open.closed).collect();
         // Those that came last and some of the others.
         let looked_at = waiting.iter().rev().take(3).chain(waiting.iter().step_by(7));
@@ -606,7 +613,7 @@
     assert!(touched[0] == touched[1] && touched[1] == touched[2], "{touched:?}");
     for elsewhere in [1, 4, 16].map(|times| times * ELSEWHERE) {
         let router = listed_router(6, 10, elsewhere, Siblings::Any);
-        assert_eq!((router.servers.len() as u64, router.elsewhere.len() as u64), (6 + 10 + 1, elsewhere));
+        assert_eq!((router.servers.len() as u64, router.unreachable.len() as u64), (6 + 10 + 1, elsewhere));
     }
 }
 
--- a/src/logic/ejection.rs
+++ b/src/logic/ejection.rs
@@ -47,7 +47,7 @@
         (Status::Ok | Status::NeverSent | Status::Cancelled, _) | (_, Note::OriginFailed) => FailedPart::None,
         (_, Note::SourceRefused | Note::SourceLost) => FailedPart::Source,
         // Danger: a fill that dries up ends in an error too, late; laid to caches it empties a location.
-        (Status::Error, _) if fill && outcome.latency >= attempt.patience => FailedPart::Link,
+        (Status::Error, _) if fill && outcome.latency >= attempt.response_timeout => FailedPart::Link,
         (Status::Error | Status::ConnectFailed | Status::Reset, _) => FailedPart::Edge,
         (Status::Full, Note::None) if source != edge && !sibling => FailedPart::Source,
         _ => FailedPart::None,
@@ -65,9 +65,9 @@
 
     /// Danger: a server that fails fast looks idle and draws traffic; a silent one holds it. Both are left to
     /// single trials, further and further apart. Harm: a blameless server rests for a moment.
-    pub(super) fn record_failure(&mut self, now: MonotonicTime, bar: f64) {
+    pub(super) fn record_failure(&mut self, now: MonotonicTime, threshold: f64) {
         self.failure_share += FAILURE_WEIGHT * (1.0 - self.failure_share);
-        if self.failure_share > bar && !self.is_ejected(now) {
+        if self.failure_share > threshold && !self.is_ejected(now) {
             self.backoff = (self.backoff * BACKOFF_INCREASE).clamp(SHORTEST_BACKOFF, LONGEST_BACKOFF);
             self.retry_at = now + self.backoff;
         }
@@ -85,10 +85,10 @@
         let shorter = self.backoff / BACKOFF_DECREASE;
         self.backoff = if shorter < SHORTEST_BACKOFF { Duration::ZERO } else { shorter };
         self.retry_at = self.retry_at.min(now + self.backoff);
-        let back = std::mem::take(&mut self.lost);
-        if back {
+        let restarted = std::mem::take(&mut self.lost);
+        if restarted {
             (self.started, self.notified_at) = (Some(now), now);
         }
-        back
+        restarted
     }
 }
--- a/src/logic/freshness.rs
+++ b/src/logic/freshness.rs
@@ -27,7 +27,7 @@
         let purged = self.purges.latest(self.now, req.object, req.group);
         let since = purged.map(|at| (self.now - at).saturating_sub(PURGE_AGE_MARGIN).max(MICROSECOND));
         // Danger: a missed purge leaves copies that must not be served, until it is done everywhere.
-        let missed = self.purges.missing(self.now).then_some(self.settings.purge_done);
+        let missed = self.purges.is_missed_pending(self.now).then_some(self.settings.purge_done);
         let missed = missed.map(|age| age.saturating_sub(PURGE_AGE_MARGIN).max(MICROSECOND));
         fresh.into_iter().chain(since).chain(missed).min()
     }
--- a/src/logic/learned.rs
+++ b/src/logic/learned.rs
@@ -138,7 +138,7 @@
 impl Router {
     /// What is learned, with so many objects at most, those asked for last.
     pub fn learned(&self, now: MonotonicTime, objects: usize) -> Learned {
-        let level = |l: &DecayingLevel| l.settled(now, LOAD_SPAN);
+        let level = |l: &DecayingLevel| l.without_current(now, LOAD_SPAN);
         let servers = self.servers.values().map(|s| LearnedServer {
             server: s.host.server,
             listed: s.host.started,
@@ -165,7 +165,7 @@
             purge_floor: self.purges.floor(),
             work: self.work.clone(),
             penalty: self.penalty,
-            unfilled: self.unfilled,
+            unfilled: self.failed_fill_share,
             in_flight: level(&self.in_flight),
             fills_in_flight: level(&self.fills_in_flight),
             link_flows: self.link_flows,
@@ -187,7 +187,7 @@
     }
 
     /// Another process of this router has sent that work.
-    pub fn sent_elsewhere(&mut self, now: MonotonicTime, sent: &[SentWork]) {
+    pub fn record_work_sent_elsewhere(&mut self, now: MonotonicTime, sent: &[SentWork]) {
         for SentWork { server, work_micros } in sent {
             if let Some(s) = self.servers.get_mut(server) {
                 s.sent_by_others.add(*work_micros, now, self.settings.overload_span);
@@ -207,7 +207,7 @@
             (s.in_flight, s.flows, s.rate) = (earlier.in_flight, earlier.flows, earlier.rate);
             // A cold budget is the router's, whichever of its processes has used it.
             s.sent_by_others = earlier.sent;
-            s.sent_by_others.join(earlier.sent_by_others);
+            s.sent_by_others.merge(earlier.sent_by_others);
             (s.failure_share, s.lost, s.pace) = (earlier.failure_share, earlier.lost, earlier.pace);
             (s.backoff, s.retry_at) = (earlier.backoff, earlier.retry_at);
             self.classify_server(earlier.server);
@@ -230,7 +230,7 @@
         }
         self.seed = learned.seed;
         self.classify_servers();
-        (self.penalty, self.unfilled) = (learned.penalty, learned.unfilled);
+        (self.penalty, self.failed_fill_share) = (learned.penalty, learned.unfilled);
         (self.in_flight, self.fills_in_flight) = (learned.in_flight, learned.fills_in_flight);
         (self.link_flows, self.link_load_report, self.all_caches) =
             (learned.link_flows, learned.link_load_report, learned.all_caches);
--- a/src/logic/learning.rs
+++ b/src/logic/learning.rs
@@ -1,5 +1,5 @@
 //! What is learned from the outcome of an attempt, on the edge cache, the source and the object.
-use super::admission::{LATE_FILL_SHARE, UNFILLED_WEIGHT};
+use super::admission::{FAILED_FILL_WEIGHT, LATE_FILL_SHARE};
 use super::ejection::{attribute_failure, FailedPart, EJECTION_THRESHOLD, SOURCE_EJECTION_THRESHOLD};
 use super::load::{
     FILL_PACE_LIMIT, INITIAL_FLOWS, JAM_MIN_WORK, JAM_PACE, LINK_FLOOR_SHARE, LOAD_REPORT_SPAN,
@@ -32,7 +32,7 @@
     /// Whether the client named the size.
     sized: bool,
     /// Whether the sending time is of this object, not of its class.
-    known: bool,
+    work_known: bool,
     /// Whether it is of the first sample of its class's work.
     sampled: bool,
     cacheable: bool,
@@ -87,7 +87,7 @@
     pub(super) fn learn(&mut self, outcome: &Outcome) {
         let Some(observation) = self.observe(outcome) else { return };
         self.learn_fills(&observation);
-        self.in_flight.step(-1.0, self.now, LOAD_SPAN);
+        self.in_flight.add(-1.0, self.now, LOAD_SPAN);
         if observation.choice.link {
             self.learn_link(&observation);
         }
@@ -125,7 +125,7 @@
             item: (open.req.object, open.req.part),
             work: open.work.max(1.0),
             sized: open.sized,
-            known: open.sized || open.known,
+            work_known: open.sized || open.work_known,
             sampled: attempt.sampled,
             cacheable: !self.settings.classes[open.req.class].uncacheable,
             filled: matches!(outcome.note, Note::Filled | Note::FilledByOrigin),
@@ -148,27 +148,28 @@
             observation.latency() > LATE_FILL_SHARE * self.settings.classes[class].latency_objective_of(work);
         // Danger: a parent that is gone or errs says so at once. Laid to the origin, it withholds the fills
         // of all healthy parents; that parent alone is left to trials.
-        let alone = outcome.note == Note::SourceLost && !late;
-        let failed = attempt.source_failed && !alone
+        let only_that_parent = outcome.note == Note::SourceLost && !late;
+        let failed = attempt.source_failed && !only_that_parent
             || outcome.note == Note::OriginFailed
             || outcome.status == Status::Timeout && late;
         if attempt.fetches() && !attempt.late && (filled || failed) {
             // Danger: an origin that slows brings all that it is asked for, too late, until it stops.
-            self.unfilled += UNFILLED_WEIGHT * (f64::from(u8::from(!filled || late)) - self.unfilled);
+            self.failed_fill_share +=
+                FAILED_FILL_WEIGHT * (f64::from(u8::from(!filled || late)) - self.failed_fill_share);
         }
     }
 
     /// How many transfers the location's link carries at full pace.
     fn learn_link(&mut self, observation: &Observation) {
-        let Observation { outcome, work, known, filled, .. } = *observation;
-        self.fills_in_flight.step(-1.0, self.now, LOAD_SPAN);
-        let noted = filled || (outcome.status, &outcome.note) == (Status::Ok, &Note::None);
+        let Observation { outcome, work, work_known, filled, .. } = *observation;
+        self.fills_in_flight.add(-1.0, self.now, LOAD_SPAN);
+        let is_answer = filled || (outcome.status, &outcome.note) == (Status::Ok, &Note::None);
         let informative =
-            (noted || observation.failed_part == FailedPart::Link) && known && work > JAM_MIN_WORK;
+            (is_answer || observation.failed_part == FailedPart::Link) && work_known && work > JAM_MIN_WORK;
         if informative && (self.link_flows.is_some() || observation.pace() > JAM_PACE) {
-            let (load, least) = (self.link_load(), self.link_floor());
-            let old = self.link_flows.unwrap_or(least / LINK_FLOOR_SHARE);
-            self.link_flows = Some(learned_flows_of(old, observation.pace(), load).max(least));
+            let (load, floor) = (self.link_load(), self.link_floor());
+            let old = self.link_flows.unwrap_or(floor / LINK_FLOOR_SHARE);
+            self.link_flows = Some(learned_flows_of(old, observation.pace(), load).max(floor));
         }
     }
 
@@ -195,7 +196,7 @@
         let now = self.now;
         let Some(server) = self.servers.get_mut(&choice.edge) else { return false };
         let mut restarted = false;
-        server.in_flight.step(-1.0, now, LOAD_SPAN);
+        server.in_flight.add(-1.0, now, LOAD_SPAN);
         if !matches!(outcome.status, Status::Cancelled | Status::Timeout | Status::NeverSent) {
             server.last_response = now;
         }
@@ -207,7 +208,7 @@
         }
         if hit {
             server.roles.edge.cost.add(observation.excess(), OBSERVATION_WEIGHT);
-            if observation.known {
+            if observation.work_known {
                 server.record_pace(now, observation.pace());
             }
             if observation.sized && work > MEASURED_MIN_WORK && state.warm {
@@ -265,10 +266,10 @@
             Status::Cancelled | Status::Timeout => Some(since_first_byte.max(assumed)),
             _ => None,
         };
-        let known = &mut self.unsized_work[class];
+        let class_work = &mut self.unsized_work[class];
         match work {
-            work if observation.sampled => known.end_sampled(work, assumed),
-            Some(work) if outcome.status == Status::Ok => known.observe(work),
+            work if observation.sampled => class_work.end_sampled(work, assumed),
+            Some(work) if outcome.status == Status::Ok => class_work.observe(work),
             _ => {}
         }
     }
--- a/src/logic/load.rs
+++ b/src/logic/load.rs
@@ -56,8 +56,8 @@
     pub(super) fn load(&self, s: &Server) -> f64 {
         let mut usual = s.in_flight.mean(self.now, LOAD_SPAN);
         if self.is_own(s) {
-            let sharing = (SUBSET_SIZE as f64 / self.caches).min(1.0);
-            usual = (usual * sharing + self.in_flight.mean(self.now, LOAD_SPAN) / self.caches) / 2.0;
+            let sharing = (SUBSET_SIZE as f64 / self.own_caches_up).min(1.0);
+            usual = (usual * sharing + self.in_flight.mean(self.now, LOAD_SPAN) / self.own_caches_up) / 2.0;
         }
         s.in_flight.now + usual * (self.settings.routers_of(s.host.zone) - 1.0)
     }
--- a/src/logic/membership.rs
+++ b/src/logic/membership.rs
@@ -28,10 +28,11 @@
         if scope == Scope::Full {
             // Danger: a server that a complete list no longer names is gone, and a drain in all but name.
             let reachable = members.hosts.iter().filter(|host| self.is_reachable(host));
-            let named: BTreeSet<ServerId> = reachable.map(|host| host.server).collect();
-            let gone: Vec<ServerId> = self.servers.keys().copied().filter(|id| !named.contains(id)).collect();
-            gone.into_iter().for_each(|id| self.retire(id));
-            self.elsewhere.clear();
+            let listed: BTreeSet<ServerId> = reachable.map(|host| host.server).collect();
+            let unlisted: Vec<ServerId> =
+                self.servers.keys().copied().filter(|id| !listed.contains(id)).collect();
+            unlisted.into_iter().for_each(|id| self.retire(id));
+            self.unreachable.clear();
         }
         for host in members.hosts {
             let id = host.server;
@@ -42,10 +43,10 @@
             if !self.is_reachable(&host) {
                 // Danger: one that moves to another location and back would be taken for the one that it was.
                 self.retire(id);
-                self.elsewhere.insert(id, host);
+                self.unreachable.insert(id, host);
                 continue;
             }
-            self.elsewhere.remove(&id);
+            self.unreachable.remove(&id);
             if !self.servers.contains_key(&id) {
                 self.add_server(host.clone());
             }
@@ -62,10 +63,10 @@
             }
             self.classify_server(id);
             let budget = self.servers.get(&id).and_then(|s| self.cold_budget(s));
-            self.least_cold_budget = budget.unwrap_or(f64::MAX).min(self.least_cold_budget);
+            self.min_cold_budget = budget.unwrap_or(f64::MAX).min(self.min_cold_budget);
         }
         if scope == Scope::Full {
-            self.least_cold_budget = self.find_least_cold_budget();
+            self.min_cold_budget = self.find_min_cold_budget();
         }
         self.count_caches();
     }
@@ -79,25 +80,25 @@
                 }
                 s.host.started = started;
             }
-            if let Some(host) = self.elsewhere.get_mut(&server).filter(|host| started < host.started) {
+            if let Some(host) = self.unreachable.get_mut(&server).filter(|host| started < host.started) {
                 host.started = started;
             }
         }
     }
 
     pub(super) fn count_caches(&mut self) {
-        self.caches = self.candidates.caches_up().max(1) as f64;
+        self.own_caches_up = self.candidates.caches_up().max(1) as f64;
     }
 
     /// The settings have another location or other kinds of sources: servers that requests can go to now are
     /// known from their entries. What was learned of the others stays until the list names them again.
     pub(super) fn find_reachable(&mut self) {
-        let elsewhere = std::mem::take(&mut self.elsewhere);
-        for (id, host) in elsewhere {
+        let unreachable = std::mem::take(&mut self.unreachable);
+        for (id, host) in unreachable {
             if self.is_reachable(&host) {
                 self.add_server(host);
             } else {
-                self.elsewhere.insert(id, host);
+                self.unreachable.insert(id, host);
             }
         }
     }
@@ -114,11 +115,11 @@
     /// Danger: over weeks of replaced servers, what is stored of each grows without end. But a list that
     /// drops a server and names it again must not grant a new budget: what was sent counts for its span.
     pub(super) fn retire(&mut self, id: ServerId) {
-        self.elsewhere.remove(&id);
+        self.unreachable.remove(&id);
         let (now, span) = (self.now, self.settings.overload_span);
         self.work_of_retired.retain(|_, work| work.sum(now, span) > 0.0);
         if let Some(Server { sent, sent_by_others: mut work, .. }) = self.servers.remove(&id) {
-            work.join(sent.valued(|class| self.unsized_work_of(class)));
+            work.merge(sent.valued(|class| self.unsized_work_of(class)));
             if work.sum(now, span) > 0.0 {
                 self.work_of_retired.insert(id, work);
             }
--- a/src/logic/retry.rs
+++ b/src/logic/retry.rs
@@ -1,5 +1,5 @@
 //! Retries and hedged requests: when a further attempt is made, and when a silent one is given up.
-use super::admission::{LATE_FILL_SHARE, RETRY_AFTER_DIVISOR, UNFILLED_WEIGHT};
+use super::admission::{FAILED_FILL_WEIGHT, LATE_FILL_SHARE, RETRY_AFTER_DIVISOR};
 use super::ejection::{EJECTION_THRESHOLD, LONGEST_BACKOFF};
 use super::load::{LOAD_SPAN, USUAL_RATE_SPAN};
 use super::slow_start::RECORDED_FILL_SHARE;
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// A silent attempt is given up after this many times its expected time,
-const PATIENCE_FACTOR: f64 = 2.0;
+const RESPONSE_TIMEOUT_FACTOR: f64 = 2.0;
 /// plus this span, for jitter.
-const PATIENCE_MARGIN: Duration = Duration::from_millis(150);
+const RESPONSE_TIMEOUT_MARGIN: Duration = Duration::from_millis(150);
 /// Time between checks of the attempts in flight.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Attempts for one request at most: more would become a storm of retries.
@@ -57,21 +57,21 @@
             }
             return;
         };
-        let expected = Duration::from_micros((PATIENCE_FACTOR * choice.expected) as u64);
-        let patience = expected + PATIENCE_MARGIN;
-        let get = self.get_for(open, class, &choice, patience);
+        let expected = Duration::from_micros((RESPONSE_TIMEOUT_FACTOR * choice.expected) as u64);
+        let response_timeout = expected + RESPONSE_TIMEOUT_MARGIN;
+        let get = self.get_for(open, class, &choice, response_timeout);
         let work = self.mean_work(open);
         let is_sized = open.sized;
-        self.count_work(&choice, class_index, work, is_sized);
+        self.record_sent_work(&choice, class_index, work, is_sized);
         if !self.count_attempt(&choice) {
             return;
         }
         let location = self.location(choice.edge);
         if let Some(open) = self.open.get_mut(&id) {
-            let (sent, check_at) = (self.now, self.now + patience);
+            let (sent, check_at) = (self.now, self.now + response_timeout);
             let sampled = !open.sized && self.unsized_work[class_index].begin();
             let attempt =
-                Attempt { choice, location, sent, check_at, patience, sampled, ..Attempt::default() };
+                Attempt { choice, location, sent, check_at, response_timeout, sampled, ..Attempt::default() };
             open.attempts.push(attempt);
         }
         actions.push(Action::Get(get));
@@ -97,7 +97,7 @@
             }
     }
 
-    fn get_for(&self, open: &OpenRequest, class: &Class, choice: &Choice, patience: Duration) -> Get {
+    fn get_for(&self, open: &OpenRequest, class: &Class, choice: &Choice, response_timeout: Duration) -> Get {
         // Only a failure justifies a stale copy; that a sibling lacked the object is none.
         let grace = open.attempts.iter().any(|a| a.edge_failed || a.source_failed && !a.choice.sibling);
         let seen = self.items.get(&(open.req.object, open.req.part)).map_or(1, |i| i.seen.max(1));
@@ -106,7 +106,7 @@
             id: open.req.id,
             server: choice.edge,
             source: choice.source,
-            stop_at: (!cancel).then(|| self.now + 2 * patience),
+            stop_at: (!cancel).then(|| self.now + 2 * response_timeout),
             rank: if class.uncacheable { 0 } else { (1 + seen.ilog2()).min(HIGHEST_RANK) as u8 },
             max_age: self.max_age(&open.req, class, grace),
             cached_only: choice.cached_only,
@@ -116,7 +116,7 @@
     }
 
     /// Counts an attempt's work at the servers that it reaches, in their slow start budgets as well.
-    fn count_work(&mut self, choice: &Choice, class: usize, work: f64, is_sized: bool) {
+    fn record_sent_work(&mut self, choice: &Choice, class: usize, work: f64, is_sized: bool) {
         let (now, span) = (self.now, self.settings.overload_span);
         let record = choice.positive.edge;
         let fill = (choice.source, if record { RECORDED_FILL_SHARE } else { 1.0 });
@@ -127,7 +127,7 @@
                 true => s.sent.add_sized(work * share, now, span),
                 false => s.sent.add_unsized(class, share, work * share, now, span),
             }
-            s.rate.pulse(work * share, now, USUAL_RATE_SPAN);
+            s.rate.add_pulse(work * share, now, USUAL_RATE_SPAN);
             self.candidates.rates_change();
             if !s.backoff.is_zero() && (server == choice.edge || !record) {
                 s.retry_at = now + s.backoff; // the one trial of this pause
@@ -139,11 +139,11 @@
     fn count_attempt(&mut self, choice: &Choice) -> bool {
         let now = self.now;
         let Some(edge) = self.servers.get_mut(&choice.edge) else { return false };
-        edge.in_flight.step(1.0, now, LOAD_SPAN);
-        self.in_flight.step(1.0, now, LOAD_SPAN);
+        edge.in_flight.add(1.0, now, LOAD_SPAN);
+        self.in_flight.add(1.0, now, LOAD_SPAN);
         edge.roles.edge.count(choice.positive.edge, CACHE_EPOCH_REQUESTS);
         self.all_caches.edge.count(choice.positive.edge, FLEET_EPOCH_REQUESTS);
-        self.fills_in_flight.step(f64::from(u8::from(choice.link)), now, LOAD_SPAN);
+        self.fills_in_flight.add(f64::from(u8::from(choice.link)), now, LOAD_SPAN);
         if let (true, Some(s)) = (choice.sibling, self.servers.get_mut(&choice.source)) {
             s.roles.source.count(choice.positive.source, CACHE_EPOCH_REQUESTS);
             self.candidates.observed_sources.extend(s.roles.source.is_observed().then_some(choice.source));
@@ -186,11 +186,13 @@
 
     /// Looks for attempts that are overdue, as often as [`CHECK_INTERVAL`] says.
     pub(super) fn on_timer(&mut self, actions: &mut Vec<Action>) {
-        self.wake = false;
+        self.timer_set = false;
         let now = self.now;
         let overdue = |a: &Attempt| !a.done && !a.cancelled && now >= a.check_at;
-        let waits = |o: &OpenRequest| !o.closed && !o.streaming && o.attempts.last().is_some_and(overdue);
-        let due: Vec<RequestId> = self.open.iter().filter(|(_, o)| waits(o)).map(|(&id, _)| id).collect();
+        let is_waiting =
+            |o: &OpenRequest| !o.closed && !o.streaming && o.attempts.last().is_some_and(overdue);
+        let due: Vec<RequestId> =
+            self.open.iter().filter(|(_, o)| is_waiting(o)).map(|(&id, _)| id).collect();
         self.count_late_fills();
         let mut hedged = self.open.values().filter(|o| o.in_flight() > 1).count() as f64;
         let limit = HEDGED_MINIMUM + HEDGED_SHARE * self.open.len() as f64;
@@ -209,10 +211,10 @@
             let class = &self.settings.classes[open.req.class];
             let limit = (LATE_FILL_SHARE * class.latency_objective_of(open.work)) as u64;
             let limit = Duration::from_micros(limit);
-            let waits = |a: &&mut Attempt| !a.done && !a.late && a.fetches() && now > a.sent + limit;
-            for attempt in open.attempts.iter_mut().filter(waits) {
+            let is_waiting = |a: &&mut Attempt| !a.done && !a.late && a.fetches() && now > a.sent + limit;
+            for attempt in open.attempts.iter_mut().filter(is_waiting) {
                 attempt.late = true;
-                self.unfilled += UNFILLED_WEIGHT * (1.0 - self.unfilled);
+                self.failed_fill_share += FAILED_FILL_WEIGHT * (1.0 - self.failed_fill_share);
             }
         }
     }
@@ -221,7 +223,8 @@
     /// attempt is overdue and nothing came from it since. Harm: one that is only slow rests for a moment.
     fn check_overdue(&mut self, id: RequestId, hedge: bool, actions: &mut Vec<Action>) -> Overdue {
         let Some(open) = self.open.get_mut(&id) else { return Overdue::Waiting };
-        let once = self.settings.classes[open.req.class].effect == Effect::Unsafe || open.in_flight() > 1;
+        let single_attempt =
+            self.settings.classes[open.req.class].effect == Effect::Unsafe || open.in_flight() > 1;
         let limits = self.settings.limits_of(open.req.class);
         let last = open.attempts.len() as u64 - 1;
         let Some(attempt) = open.attempts.last_mut() else { return Overdue::Waiting };
@@ -229,7 +232,7 @@
         let first_run = attempt.as_first_run();
         let responded = self.servers.get(&edge).is_some_and(|s| s.last_response > sent);
         let filled = self.servers.get(&source).is_some_and(|s| s.last_fill > sent);
-        attempt.check_at = self.now + attempt.patience;
+        attempt.check_at = self.now + attempt.response_timeout;
         let silent = if !responded {
             attempt.edge_failed = true;
             edge
@@ -242,7 +245,7 @@
         if let Some(s) = self.servers.get_mut(&silent) {
             s.record_failure(self.now, EJECTION_THRESHOLD);
         }
-        if once {
+        if single_attempt {
             return Overdue::Waiting;
         }
         if limits.duplicates && hedge {
--- a/src/logic/ring.rs
+++ b/src/logic/ring.rs
@@ -5,7 +5,7 @@
 use std::cell::Cell;
 
 /// Relative error allowed for in a lower bound of a place: far above that of a logarithm.
-const BOUND_ERROR: f64 = 1e-12;
+const RELATIVE_ERROR: f64 = 1e-12;
 
 /// A server as the shared hash sees it.
 #[derive(Debug, Clone, Copy)]
@@ -70,8 +70,8 @@
         for candidate in &self.candidates {
             let drawn = unit(key ^ candidate.seed);
             // -ln(x) is at least 1 - x, so that the logarithm is needed for few.
-            let least = (1.0 - drawn) / candidate.weight * (1.0 - BOUND_ERROR);
-            if best.is_some_and(|(place, _)| least > place) {
+            let lower_bound = (1.0 - drawn) / candidate.weight * (1.0 - RELATIVE_ERROR);
+            if best.is_some_and(|(place, _)| lower_bound > place) {
                 continue;
             }
             let place = rank_of(drawn, candidate.weight);
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -11,7 +11,7 @@
 /// How much more of it is used as many routers share the budget: their bursts even out.
 const SHARED_BUDGET_SHARE: f64 = 0.2;
 /// Requests that any server bears which has just started, as long as nothing is known of their work.
-const LEAST_COLD_REQUESTS: f64 = 8.0;
+const MIN_COLD_REQUESTS: f64 = 8.0;
 /// Share of a fill that a request with a hit record counts for in its source's budget: records can be wrong.
 pub(super) const RECORDED_FILL_SHARE: f64 = 0.3;
 
@@ -33,8 +33,8 @@
     pub(super) fn warm_share_at(&self, s: &Server, now: MonotonicTime) -> f64 {
         let Some(started) = s.started else { return 1.0 };
         let SlowStart { from, span, .. } = self.settings.slow_start(self.tier(s));
-        let gone = micros_f64(now.saturating_since(started)) / micros_f64(span.max(MICROSECOND));
-        (from + (1.0 - from) * gone).clamp(0.0, 1.0)
+        let elapsed = micros_f64(now.saturating_since(started)) / micros_f64(span.max(MICROSECOND));
+        (from + (1.0 - from) * elapsed).clamp(0.0, 1.0)
     }
 
     /// Danger: all routers together push over a cold cache or parent. Each stays within its share of the
@@ -46,16 +46,17 @@
         }
         let share = set.quota_divisor(self.now, self.is_cache(s).then_some(s.host.zone));
         let span = set.overload_span.max(MICROSECOND);
-        let used = BUDGET_SHARE + SHARED_BUDGET_SHARE * (1.0 - (4.0 / share).min(1.0).sqrt());
+        let used_share = BUDGET_SHARE + SHARED_BUDGET_SHARE * (1.0 - (4.0 / share).min(1.0).sqrt());
         // Danger: what the process before this one has sent is not known, and all may begin again at once.
         let uptime = micros_f64((self.now - self.started_at.unwrap_or(self.now)).min(span));
         let budget =
-            set.slow_start(self.tier(s)).multiple * warm_share * self.flows(s) * uptime / share * used;
+            set.slow_start(self.tier(s)).multiple * warm_share * self.flows(s) * uptime / share * used_share;
         // A share may be under one request: then a router has turns in some spans, which begin at any time.
         let slot_length = duration_micros(span);
         let slot_of = |at: MonotonicTime| (at.as_micros() + self.seed % slot_length) / slot_length;
-        let [slot, first] = [self.now, s.notified_at].map(slot_of);
-        let slot_share = if first < slot { unit(self.seed ^ mix(s.host.server ^ mix(slot))) } else { 0.0 };
+        let [slot, notified_slot] = [self.now, s.notified_at].map(slot_of);
+        let slot_share =
+            if notified_slot < slot { unit(self.seed ^ mix(s.host.server ^ mix(slot))) } else { 0.0 };
         let sent = s.sent.sum(self.now, span, |class| self.unsized_work_of(class));
         sent + s.sent_by_others.sum(self.now, span) + work <= budget + slot_share * work
     }
@@ -88,7 +89,7 @@
     /// by one that is many times the work, servers that have started idle; each bears a few requests.
     pub(super) fn assumed_work(&self, class: usize) -> f64 {
         let objective = micros_f64(self.settings.classes[class].latency_objective).max(INITIAL_SENDING_TIME);
-        objective.min(self.least_cold_budget / LEAST_COLD_REQUESTS)
+        objective.min(self.min_cold_budget / MIN_COLD_REQUESTS)
     }
 
     /// Work (µs) that pushes over a server which has just started; none where its size is not listed.
@@ -100,7 +101,7 @@
     }
 
     /// The least of all that are listed; unbounded where no sizes are.
-    pub(super) fn find_least_cold_budget(&self) -> f64 {
+    pub(super) fn find_min_cold_budget(&self) -> f64 {
         self.servers.values().filter_map(|s| self.cold_budget(s)).fold(f64::MAX, f64::min)
     }
 
--- a/src/logic/state.rs
+++ b/src/logic/state.rs
@@ -93,7 +93,7 @@
     /// When it is overdue.
     pub check_at: MonotonicTime,
     /// How long it may be silent.
-    pub patience: Duration,
+    pub response_timeout: Duration,
     /// Whether its outcome is in.
     pub done: bool,
     pub cancelled: bool,
@@ -128,7 +128,7 @@
     /// Whether the client named the size.
     pub sized: bool,
     /// Whether the sending time is of this object, not of its class.
-    pub known: bool,
+    pub work_known: bool,
     pub attempts: Vec<Attempt>,
     /// Its final answer is given, or the client has left.
     pub closed: bool,
@@ -138,11 +138,11 @@
 }
 
 /// What is wanted of a sibling.
-pub(super) struct Wanted<'a> {
+pub(super) struct SiblingQuery<'a> {
     pub key: u64,
     /// The sending time, and the one by which budgets go.
     pub work: f64,
-    pub mean: f64,
+    pub budget_work: f64,
     /// The servers with a record of a hit.
     pub holders: &'a [ServerId],
 }
@@ -151,14 +151,14 @@
 pub(super) struct EdgeCost {
     pub server: ServerId,
     /// Its access cost.
-    pub at: f64,
+    pub access: f64,
     /// The miss penalty times the chance of a miss there.
     pub miss: f64,
 }
 
 impl EdgeCost {
     /// Eq. (11), with a source of this access cost and chance of a miss.
-    pub fn with(&self, more: f64, lacks: f64) -> f64 {
-        self.at + more + self.miss * lacks
+    pub fn with_source(&self, source_access: f64, source_miss: f64) -> f64 {
+        self.access + source_access + self.miss * source_miss
     }
 }
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -62,7 +62,7 @@
 
     /// How many servers are listed.
     pub fn servers(&self) -> usize {
-        self.servers.len() + self.elsewhere.len()
+        self.servers.len() + self.unreachable.len()
     }
 
     /// What deciding has cost since the start: servers looked at one by one, and places drawn by the shared
--- a/src/purges.rs
+++ b/src/purges.rs
@@ -6,7 +6,7 @@
 
 /// Most purges remembered: those of 50 seconds at 1,000 a second. Purges are remembered for a few times the
 /// purge window (about 9 s at most), so the bound holds that rate; a full table takes about 5 MB.
-pub const MOST_PURGES: usize = 50_000;
+pub const MAX_PURGES: usize = 50_000;
 
 /// What a purge concerns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,7 +34,7 @@
 
 impl Purge {
     /// Both in one: neither moves back.
-    fn join(self, other: Purge) -> Purge {
+    fn merge(self, other: Purge) -> Purge {
         Purge { issued: self.issued.max(other.issued), until: self.until.max(other.until) }
     }
 }
@@ -42,7 +42,7 @@
 /// The latest purge of each object and group. Recording one costs O(log n), however many are remembered.
 #[derive(Debug, Default)]
 pub struct PurgeTable {
-    /// At most [`MOST_PURGES`]; at the bound the one that expires first turns into `floor`.
+    /// At most [`MAX_PURGES`]; at the bound the one that expires first turns into `floor`.
     latest: BTreeMap<PurgeTarget, Purge>,
     /// The same purges by the moment until which they are remembered.
     by_expiry: BTreeSet<(MonotonicTime, PurgeTarget)>,
@@ -64,17 +64,17 @@
         until: MonotonicTime,
     ) {
         self.expire(now);
-        let known = self.latest.get(&target).copied();
+        let existing = self.latest.get(&target).copied();
         let new = Purge { issued, until };
-        let joined = known.map_or(new, |known| known.join(new));
-        if let Some(known) = known {
-            self.by_expiry.remove(&(known.until, target));
+        let merged = existing.map_or(new, |existing| existing.merge(new));
+        if let Some(existing) = existing {
+            self.by_expiry.remove(&(existing.until, target));
         }
-        self.latest.insert(target, joined);
-        self.by_expiry.insert((joined.until, target));
+        self.latest.insert(target, merged);
+        self.by_expiry.insert((merged.until, target));
         self.touched += 1;
-        while self.latest.len() > MOST_PURGES {
-            let Some(purge) = self.remove_first() else { return };
+        while self.latest.len() > MAX_PURGES {
+            let Some(purge) = self.remove_earliest() else { return };
             self.raise_floor(purge.issued, purge.until);
         }
     }
@@ -83,17 +83,17 @@
     /// is remembered until a time.
     pub fn raise_floor(&mut self, issued: MonotonicTime, until: MonotonicTime) {
         let new = Purge { issued, until };
-        self.floor = Some(self.floor.map_or(new, |floor| floor.join(new)));
+        self.floor = Some(self.floor.map_or(new, |floor| floor.merge(new)));
     }
 
     /// Records that purges were missed, of which nothing more is known; until a time they may not be done
     /// everywhere.
-    pub fn miss(&mut self, until: MonotonicTime) {
+    pub fn record_missed(&mut self, until: MonotonicTime) {
         self.missed_until = self.missed_until.max(until);
     }
 
     /// Whether purges that were missed may not be done everywhere.
-    pub fn missing(&self, now: MonotonicTime) -> bool {
+    pub fn is_missed_pending(&self, now: MonotonicTime) -> bool {
         now < self.missed_until
     }
 
@@ -101,8 +101,8 @@
     /// forgotten.
     pub fn latest(&self, now: MonotonicTime, object: ObjectId, group: u64) -> Option<MonotonicTime> {
         let targets = [PurgeTarget::Object(object), PurgeTarget::Group(group)];
-        let known = targets.iter().filter_map(|target| self.latest.get(target));
-        known.chain(&self.floor).filter(|purge| now < purge.until).map(|purge| purge.issued).max()
+        let existing = targets.iter().filter_map(|target| self.latest.get(target));
+        existing.chain(&self.floor).filter(|purge| now < purge.until).map(|purge| purge.issued).max()
     }
 
     /// All purges remembered, with the time of each.
@@ -132,11 +132,11 @@
 
     fn expire(&mut self, now: MonotonicTime) {
         while self.by_expiry.first().is_some_and(|(until, _)| *until <= now) {
-            self.remove_first();
+            self.remove_earliest();
         }
     }
 
-    fn remove_first(&mut self) -> Option<Purge> {
+    fn remove_earliest(&mut self) -> Option<Purge> {
         let (_, target) = self.by_expiry.pop_first()?;
         self.touched += 1;
         self.latest.remove(&target)
--- a/src/purges/tests.rs
+++ b/src/purges/tests.rs
@@ -14,7 +14,7 @@
 #[test]
 fn beyond_the_bound_a_forgotten_purge_still_voids_what_is_older() {
     let mut purges = PurgeTable::default();
-    for n in 0..=MOST_PURGES as u64 {
+    for n in 0..=MAX_PURGES as u64 {
         purges.record(at(n), object(n), at(1000 + n), at(SECOND + n));
     }
     assert_eq!(purges.latest(at(1), 0, 7), Some(at(1000)), "its own purge was the first to go");
@@ -23,7 +23,7 @@
         Some(at(1000)),
         "and so is all of its age, but nothing younger"
     );
-    assert_eq!(purges.len(), MOST_PURGES);
+    assert_eq!(purges.len(), MAX_PURGES);
     assert_eq!(purges.latest(at(SECOND), 999_999, 7), None, "until there can be no copy of that age");
 }
 
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -39,18 +39,18 @@
     }
 
     /// The mean alone, for whoever has nothing out yet.
-    pub fn settled(&self, at: MonotonicTime, span: Duration) -> DecayingLevel {
+    pub fn without_current(&self, at: MonotonicTime, span: Duration) -> DecayingLevel {
         DecayingLevel { now: 0.0, mean: self.mean(at, span), at }
     }
 
     /// Counts an amount at one moment into the mean, as a rate.
-    pub fn pulse(&mut self, amount: f64, at: MonotonicTime, span: Duration) {
-        self.step(0.0, at, span);
+    pub fn add_pulse(&mut self, amount: f64, at: MonotonicTime, span: Duration) {
+        self.add(0.0, at, span);
         self.mean += amount / micros_f64(span);
     }
 
     /// Changes the level, never below none.
-    pub fn step(&mut self, by: f64, at: MonotonicTime, span: Duration) {
+    pub fn add(&mut self, by: f64, at: MonotonicTime, span: Duration) {
         self.mean = self.mean(at, span);
         self.at = self.at.max(at);
         self.now = (self.now + by).max(0.0);
@@ -68,18 +68,18 @@
 impl DecayingReport {
     /// Adds a report of now; it has this weight against reports within the span.
     pub fn report(&mut self, value: f64, at: MonotonicTime, span: Duration, weight: f64) {
-        let weight_left = (1.0 - weight) * self.trust(at, span);
+        let weight_left = (1.0 - weight) * self.report_weight(at, span);
         *self = DecayingReport { value: value + weight_left * (self.value - value), at: Some(at) };
     }
 
     /// From 1 for a report of now to 0 for none or one of long ago.
-    fn trust(&self, at: MonotonicTime, span: Duration) -> f64 {
+    fn report_weight(&self, at: MonotonicTime, span: Duration) -> f64 {
         self.at.map_or(0.0, |reported| (-micros_f64(at.saturating_since(reported)) / micros_f64(span)).exp())
     }
 
     /// Between the report and the caller's own estimate, by the report's age.
-    pub fn or(&self, guess: f64, at: MonotonicTime, span: Duration) -> f64 {
-        guess + self.trust(at, span) * (self.value - guess)
+    pub fn or(&self, estimate: f64, at: MonotonicTime, span: Duration) -> f64 {
+        estimate + self.report_weight(at, span) * (self.value - estimate)
     }
 }
 
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what another window holds.
-    pub fn join(&mut self, other: SlidingSum) {
+    pub fn merge(&mut self, other: SlidingSum) {
         self.0.extend(other.0);
         self.0.make_contiguous().sort_by_key(|(at, _)| *at);
     }
@@ -165,8 +165,8 @@
 
 /// Transfers that fit at full pace, from how long one took while so many were out. A pace above the bar is a
 /// jam.
-pub fn learned_flows(weight: f64, bar: f64, old: f64, pace: f64, load: f64) -> f64 {
-    old + weight * if pace > bar { load / pace - old } else { (load - old).max(0.0) }
+pub fn learned_flows(weight: f64, jam_pace: f64, old: f64, pace: f64, load: f64) -> f64 {
+    old + weight * if pace > jam_pace { load / pace - old } else { (load - old).max(0.0) }
 }
 
 /// The plain mean, if there is any number.
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1218,7 +1218,7 @@
         let told = rigs[own].router.sent_after(now, now - Duration::from_micros(1));
         for (other, rig) in rigs.iter_mut().enumerate().filter(|_| telling) {
             if other != own {
-                rig.router.sent_elsewhere(now, &told);
+                rig.router.record_work_sent_elsewhere(now, &told);
             }
         }
     }
