--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -22,7 +22,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use nodes::{Standing, MAX_NODES};
+pub use nodes::{NodeCounts, MAX_NODES};
 
 /// How long a lease lasts at most, whatever a file says: the wait of L2 holds for the files of all gateways.
 pub const MAX_LEASE: Duration = Duration::from_secs(2);
@@ -37,19 +37,19 @@
     /// How long a lease lasts, at most [`MAX_LEASE`].
     pub lease: Duration,
     /// Time between the creation of the own node and the first use of the pool.
-    pub wait: Duration,
+    pub first_use_delay: Duration,
     /// Time for which a deleted node counts.
-    pub hold: Duration,
+    pub deleted_node_hold: Duration,
 }
 
 impl LeaseSettings {
     /// The settings by the operators' file.
-    pub fn of(file: &crate::FleetFile) -> Self {
+    pub fn from_file(file: &crate::FleetFile) -> Self {
         LeaseSettings {
             floor: file.floor,
             lease: Duration::from_millis(file.lease_ms).min(MAX_LEASE),
-            wait: EXPIRY_WAIT,
-            hold: EXPIRY_WAIT,
+            first_use_delay: EXPIRY_WAIT,
+            deleted_node_hold: EXPIRY_WAIT,
         }
     }
 }
@@ -130,15 +130,15 @@
 
     /// Handles an event of the session.
     pub fn handle(&mut self, now: MonotonicTime, input: Input) {
-        self.nodes.forget_departed(now);
+        self.nodes.remove_expired(now);
         match input {
             Input::Registered => self.registered_at = Some(now),
             Input::SessionEnded => (self.registered_at, self.synced_at) = (None, None),
             Input::NodeAppeared { name, zone } => {
                 self.stale.remove(name.as_str());
-                self.nodes.arrived(name.into(), zone);
+                self.nodes.insert(name.into(), zone);
             }
-            Input::NodeGone(name) => self.nodes.departed(now, &name.into()),
+            Input::NodeGone(name) => self.nodes.mark_deleted(now, &name.into()),
             Input::RereadStarted => {
                 (self.view_complete, self.reread_at) = (false, now);
                 self.stale = self.nodes.names().collect();
@@ -146,7 +146,7 @@
             Input::RereadComplete => {
                 self.view_complete = true;
                 for name in std::mem::take(&mut self.stale) {
-                    self.nodes.departed(now, &name);
+                    self.nodes.mark_deleted(now, &name);
                 }
             }
             Input::Synced(sent_at) => {
@@ -164,8 +164,8 @@
     }
 
     /// How many nodes count, those deleted less than `hold` ago among them; one of an unknown zone counts for any.
-    pub fn standing(&self, settings: &LeaseSettings, now: MonotonicTime) -> Standing {
-        self.nodes.standing(self.size.zone, now, settings.hold)
+    pub fn node_counts(&self, settings: &LeaseSettings, now: MonotonicTime) -> NodeCounts {
+        self.nodes.counts(self.size.zone, now, settings.deleted_node_hold)
     }
 
     /// How many nodes are stored, deleted ones that still count among them; at most [`MAX_NODES`].
@@ -193,13 +193,13 @@
             of_all: settings.floor * configured.of_all,
             of_own_zone: settings.floor * configured.of_own_zone,
         };
-        let standing = self.standing(settings, now);
+        let counts = self.node_counts(settings, now);
         let pool = 1.0 - settings.floor;
-        let lent = Shares {
-            of_all: floor.of_all + pool / standing.all.max(1) as f64,
-            of_own_zone: floor.of_own_zone + pool / standing.in_zone.max(1) as f64,
+        let with_pool = Shares {
+            of_all: floor.of_all + pool / counts.all.max(1) as f64,
+            of_own_zone: floor.of_own_zone + pool / counts.in_zone.max(1) as f64,
         };
-        Quotas { until: self.expires_at(settings, now), leased: lent, unleased: floor }
+        Quotas { until: self.expires_at(settings, now), leased: with_pool, unleased: floor }
     }
 
     /// Whether the pool may be used now.
@@ -209,11 +209,11 @@
 
     /// Until when the pool may be used, [`MonotonicTime::MIN`] if it may not be.
     fn expires_at(&self, settings: &LeaseSettings, now: MonotonicTime) -> MonotonicTime {
-        let registered_long_ago =
-            self.registered_at.is_some_and(|created_at| created_at + settings.wait <= now);
-        let reread_long_ago = self.reread_at + settings.hold <= now;
+        let is_first_use_delay_over =
+            self.registered_at.is_some_and(|created_at| created_at + settings.first_use_delay <= now);
+        let is_reread_hold_over = self.reread_at + settings.deleted_node_hold <= now;
         match self.synced_at {
-            Some(sent_at) if registered_long_ago && reread_long_ago && self.view_complete => {
+            Some(sent_at) if is_first_use_delay_over && is_reread_hold_over && self.view_complete => {
                 sent_at + settings.lease
             }
             _ => MonotonicTime::MIN,
--- a/crates/cluster/src/lease/nodes.rs
+++ b/crates/cluster/src/lease/nodes.rs
@@ -14,18 +14,18 @@
 const UNKNOWN_ZONE: usize = usize::MAX;
 
 /// Bytes of the two reference counts that stand before a shared name.
-const ARC_COUNTS: usize = 2 * size_of::<usize>();
+const ARC_HEADER_BYTES: usize = 2 * size_of::<usize>();
 
 /// A node that exists, or was deleted less than [`EXPIRY_WAIT`] ago.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Node {
     zone: usize,
-    departed: Option<MonotonicTime>,
+    deleted_at: Option<MonotonicTime>,
 }
 
 /// A deleted node, ordered by the time of its deletion.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Departure<Name> {
+struct Deletion<Name> {
     at: MonotonicTime,
     name: Name,
     zone: usize,
@@ -33,7 +33,7 @@
 
 /// How many nodes count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct NodeCounts {
     /// In all zones.
     pub all: u64,
     /// In the zone asked for, and those whose zone is not known.
@@ -48,9 +48,9 @@
     /// How many of `by_name` are in each zone; no zone stands here with 0.
     by_zone: BTreeMap<usize, u64>,
     /// Those of `by_name` that are deleted.
-    departures: BTreeSet<Departure<Name>>,
+    deletions: BTreeSet<Deletion<Name>>,
     /// Nodes beyond [`MAX_NODES`]: one that is left out would be missing in the division, so it is counted.
-    uncounted: u64,
+    not_stored: u64,
 }
 
 impl<Name> Default for Nodes<Name> {
@@ -58,8 +58,8 @@
         Nodes {
             by_name: BTreeMap::new(),
             by_zone: BTreeMap::new(),
-            departures: BTreeSet::new(),
-            uncounted: 0,
+            deletions: BTreeSet::new(),
+            not_stored: 0,
         }
     }
 }
@@ -68,9 +68,9 @@
     /// Bytes of memory that the nodes take, the slack of the ordered maps left out.
     pub fn memory_bytes(&self) -> usize {
         let entry = size_of::<Arc<str>>() + size_of::<Node>();
-        let name = |name: &Arc<str>| ARC_COUNTS + name.len();
+        let name = |name: &Arc<str>| ARC_HEADER_BYTES + name.len();
         let names: usize = self.by_name.keys().map(name).sum();
-        self.by_name.len() * entry + names + self.departures.len() * size_of::<Departure<Arc<str>>>()
+        self.by_name.len() * entry + names + self.deletions.len() * size_of::<Deletion<Arc<str>>>()
     }
 }
 
@@ -91,52 +91,52 @@
     }
 
     /// Adds a node that exists.
-    pub fn arrived(&mut self, name: Name, zone: usize) {
+    pub fn insert(&mut self, name: Name, zone: usize) {
         let stored = self.remove(&name);
         if stored || self.by_name.len() < MAX_NODES {
-            self.by_name.insert(name, Node { zone, departed: None });
+            self.by_name.insert(name, Node { zone, deleted_at: None });
             *self.by_zone.entry(zone).or_default() += 1;
         } else {
-            self.uncounted += 1;
+            self.not_stored += 1;
         }
     }
 
     /// Marks a node as deleted. It counts for [`EXPIRY_WAIT`] more.
-    pub fn departed(&mut self, now: MonotonicTime, name: &Name) {
-        let Some(node) = self.by_name.get_mut(name).filter(|node| node.departed.is_none()) else { return };
-        node.departed = Some(now);
-        self.departures.insert(Departure { at: now, name: name.clone(), zone: node.zone });
+    pub fn mark_deleted(&mut self, now: MonotonicTime, name: &Name) {
+        let Some(node) = self.by_name.get_mut(name).filter(|node| node.deleted_at.is_none()) else { return };
+        node.deleted_at = Some(now);
+        self.deletions.insert(Deletion { at: now, name: name.clone(), zone: node.zone });
     }
 
     /// Drops nodes that were deleted [`EXPIRY_WAIT`] ago or earlier.
-    pub fn forget_departed(&mut self, now: MonotonicTime) {
-        while self.departures.first().is_some_and(|first| first.at + EXPIRY_WAIT <= now) {
-            let Some(departure) = self.departures.pop_first() else { return };
-            self.by_name.remove(&departure.name);
-            self.uncount(departure.zone);
+    pub fn remove_expired(&mut self, now: MonotonicTime) {
+        while self.deletions.first().is_some_and(|first| first.at + EXPIRY_WAIT <= now) {
+            let Some(deletion) = self.deletions.pop_first() else { return };
+            self.by_name.remove(&deletion.name);
+            self.uncount(deletion.zone);
         }
     }
 
     /// How many nodes exist, or were deleted less than `hold` ago; `hold` is at most [`EXPIRY_WAIT`].
-    pub fn standing(&self, zone: usize, now: MonotonicTime, hold: Duration) -> Standing {
+    pub fn counts(&self, zone: usize, now: MonotonicTime, hold: Duration) -> NodeCounts {
         let in_zone = |of: usize| of == zone || of == UNKNOWN_ZONE;
-        let count_of = |zone: usize| self.by_zone.get(&zone).copied().unwrap_or(0);
-        let unknown = if zone == UNKNOWN_ZONE { 0 } else { count_of(UNKNOWN_ZONE) };
-        let mut standing = Standing {
-            all: self.by_name.len() as u64 + self.uncounted,
-            in_zone: count_of(zone) + unknown + self.uncounted,
+        let count_in = |zone: usize| self.by_zone.get(&zone).copied().unwrap_or(0);
+        let unknown = if zone == UNKNOWN_ZONE { 0 } else { count_in(UNKNOWN_ZONE) };
+        let mut counts = NodeCounts {
+            all: self.by_name.len() as u64 + self.not_stored,
+            in_zone: count_in(zone) + unknown + self.not_stored,
         };
-        for expired in self.departures.iter().take_while(|departure| departure.at + hold <= now) {
-            standing.all -= 1;
-            standing.in_zone -= u64::from(in_zone(expired.zone));
+        for expired in self.deletions.iter().take_while(|deletion| deletion.at + hold <= now) {
+            counts.all -= 1;
+            counts.in_zone -= u64::from(in_zone(expired.zone));
         }
-        standing
+        counts
     }
 
     fn remove(&mut self, name: &Name) -> bool {
         let Some(node) = self.by_name.remove(name) else { return false };
-        if let Some(at) = node.departed {
-            self.departures.remove(&Departure { at, name: name.clone(), zone: node.zone });
+        if let Some(at) = node.deleted_at {
+            self.deletions.remove(&Deletion { at, name: name.clone(), zone: node.zone });
         }
         self.uncount(node.zone);
         true
--- a/crates/cluster/src/tiers.rs
+++ b/crates/cluster/src/tiers.rs
@@ -34,7 +34,7 @@
 use timing::{REGION_REPORT_TIMEOUT, REPORT_TIMEOUT, SITE_RENEWAL};
 
 pub use count::{Count, Version};
-pub use reports::{Receipt, Reports};
+pub use reports::{ReportOutcome, Reports};
 pub use timing::ElectionTiming;
 pub use topology::{SitePlace, Tier, Topology, TopologyError, MAX_CHILDREN, MAX_GROUP_SIZE, TIERS};
 pub use view::{GroupReport, TierReport, TiersReport};
@@ -112,7 +112,7 @@
     /// By tier, the election of the own group's representative.
     elections: [Election; TIERS],
     /// By tier, the term of the lease that was held at the last input.
-    offices: [Option<u32>; TIERS],
+    held_terms: [Option<u32>; TIERS],
     /// By tier, the representatives of the groups beside the own one.
     contacts: [Contacts; TIERS],
     /// By tier, the reports of the groups beside the own one, while this gateway represents the group above.
@@ -168,7 +168,7 @@
             is_isolated: false,
             is_leaving: false,
             elections,
-            offices: [None; TIERS],
+            held_terms: [None; TIERS],
             contacts: Tier::ALL.map(|tier| Contacts::new(tier, siblings[tier.index()].len(), seed)),
             reports: Tier::ALL.map(|tier| Reports::new(siblings[tier.index()].len(), report_timeout(tier))),
             tables: Tier::ALL.map(|tier| TableState::new(sizes(tier))),
@@ -186,7 +186,7 @@
 
     /// Handles an event and appends what is to be done.
     pub fn handle(&mut self, now: MonotonicTime, input: Input<'_>, outputs: &mut Vec<Output>) {
-        self.update_offices(now, outputs);
+        self.update_held_leases(now, outputs);
         match input {
             Input::Tick => self.tick(now, outputs),
             Input::Received { kind: MessageKind::Tiers, from, body } => {
@@ -197,7 +197,7 @@
             Input::Received { kind, from, body } => self.detect_received(now, kind, from, body, outputs),
             Input::Leave => self.leave(now, outputs),
         }
-        self.update_offices(now, outputs);
+        self.update_held_leases(now, outputs);
     }
 
     /// When [`Input::Tick`] is due.
@@ -225,7 +225,7 @@
         self.detect_tick(now, outputs);
         for tier in Tier::ALL {
             self.tick_election(now, tier, outputs);
-            self.update_offices(now, outputs);
+            self.update_held_leases(now, outputs);
         }
         self.publish_tables(now);
         self.send_reports(now, outputs);
@@ -270,7 +270,7 @@
     let voters = topology.children(tier, group).len();
     let mut timing = ElectionTiming::default();
     if tier == Tier::Site {
-        timing.renewal = SITE_RENEWAL;
+        timing.renewal_interval = SITE_RENEWAL;
     } else if voters == 1 {
         // The lease of the only group below excludes all others already.
         timing.vote_delay = Duration::ZERO;
--- a/crates/cluster/src/tiers/contacts.rs
+++ b/crates/cluster/src/tiers/contacts.rs
@@ -14,38 +14,38 @@
 #[derive(Debug)]
 pub(super) struct Contacts {
     tier: Tier,
-    known: Vec<Option<Contact>>,
+    contacts: Vec<Option<Contact>>,
     /// Changes with each choice of a member at random.
-    choice: u64,
+    random_state: u64,
 }
 
 impl Contacts {
     pub(super) fn new(tier: Tier, groups: usize, seed: u64) -> Self {
-        Contacts { tier, known: vec![None; groups], choice: mix(seed ^ tier.index() as u64) }
+        Contacts { tier, contacts: vec![None; groups], random_state: mix(seed ^ tier.index() as u64) }
     }
 
     /// Notes that a member represents the group at this place: it said so, or another gateway named it. Returns
     /// whether another one, or none, was known before.
-    pub(super) fn note(&mut self, now: MonotonicTime, place: usize, member: u16) -> bool {
-        let Some(contact) = self.known.get_mut(place) else { return false };
+    pub(super) fn record(&mut self, now: MonotonicTime, place: usize, member: u16) -> bool {
+        let Some(contact) = self.contacts.get_mut(place) else { return false };
         let before = contact.replace(Contact { member, received_at: now });
         before.is_none_or(|before| before.member != member)
     }
 
     /// To whom a message for the group at this place goes: its representative if a message of it came of late, else
     /// some member, who names the representative.
-    pub(super) fn address(
+    pub(super) fn recipient(
         &mut self,
         now: MonotonicTime,
         topology: &Topology,
         place: usize,
         group: u16,
     ) -> u16 {
-        match self.known.get(place).copied().flatten() {
+        match self.contacts.get(place).copied().flatten() {
             Some(contact) if now < contact.received_at + CONTACT_TIMEOUT => contact.member,
             _ => {
-                self.choice = mix(self.choice);
-                topology.some_member(self.tier, group, self.choice)
+                self.random_state = mix(self.random_state);
+                topology.pick_member(self.tier, group, self.random_state)
             }
         }
     }
--- a/crates/cluster/src/tiers/election.rs
+++ b/crates/cluster/src/tiers/election.rs
@@ -139,7 +139,7 @@
 
     /// Comes into office anew, as a voter for a group in whose name another may have voted meanwhile. Terms stay
     /// known.
-    pub fn enter_office(&mut self, now: MonotonicTime) {
+    pub fn reset_voter(&mut self, now: MonotonicTime) {
         self.votes_from = self.votes_from.max(now + self.timing.vote_delay);
         self.resign();
     }
@@ -154,7 +154,7 @@
     /// The term of the lease that is held at `now`, which has to be the time of the use (T3).
     pub fn held_term(&self, now: MonotonicTime) -> Option<u32> {
         let candidacy = self.candidacy.as_ref()?;
-        (now < candidacy.lease_until(self.timing.lease)).then_some(candidacy.term)
+        (now < candidacy.lease_until(self.timing.lease_duration)).then_some(candidacy.term)
     }
 
     /// The holder of the lease, if a message of it came within the time of a lease.
@@ -162,7 +162,7 @@
         if let Some(term) = self.held_term(now) {
             return Some(KnownHolder { member: self.own_member, term, received_at: now });
         }
-        self.known_holder.filter(|holder| now < holder.received_at + self.timing.grant)
+        self.known_holder.filter(|holder| now < holder.received_at + self.timing.grant_duration)
     }
 
     /// The latest term that is known of the group.
@@ -176,7 +176,7 @@
             Input::Tick { rank } => self.tick(now, rank, outputs),
             Input::Request { candidate, request } => self.receive_request(now, candidate, request, outputs),
             Input::Grant { voter, term, round } => self.receive_grant(now, voter, term, round, outputs),
-            Input::Refused { term } => self.learn_of_refusal(term),
+            Input::Refused { term } => self.receive_refusal(term),
             Input::TermObserved { term } => self.observe_term(term),
         }
     }
@@ -189,10 +189,10 @@
     }
 
     /// A lease that a majority granted stays, whatever single voters know; a campaign under an early term is in vain.
-    fn learn_of_refusal(&mut self, term: u32) {
+    fn receive_refusal(&mut self, term: u32) {
         self.highest_term = self.highest_term.max(term);
-        let is_vain = |candidacy: &Candidacy| !candidacy.is_elected && candidacy.term < term;
-        if self.candidacy.as_ref().is_some_and(is_vain) {
+        let is_outdated = |candidacy: &Candidacy| !candidacy.is_elected && candidacy.term < term;
+        if self.candidacy.as_ref().is_some_and(is_outdated) {
             self.resign();
         }
     }
@@ -224,7 +224,7 @@
         }
         if self.vote(now, candidate, request) {
             outputs.push(Output::Grant { candidate, term: request.term, round: request.round });
-        } else if self.is_in_vain(candidate, request) {
+        } else if self.needs_refusal(candidate, request) {
             outputs.push(Output::Refuse { candidate, term: self.highest_term });
         }
     }
@@ -237,7 +237,7 @@
         round: u32,
         outputs: &mut Vec<Output>,
     ) {
-        let lease = self.timing.lease;
+        let lease = self.timing.lease_duration;
         let Some(candidacy) = &mut self.candidacy else { return };
         if candidacy.term != term || voter == self.own_voter || voter >= self.voters {
             return;
@@ -253,9 +253,9 @@
 
     fn tick(&mut self, now: MonotonicTime, rank: Option<usize>, outputs: &mut Vec<Output>) {
         let Some(rank) = rank else { return self.resign() };
-        let Some(candidacy) = &self.candidacy else { return self.consider_campaign(now, rank, outputs) };
-        let has_lapsed = candidacy.is_elected && now >= candidacy.lease_until(self.timing.lease);
-        let has_failed = !candidacy.is_elected && now >= candidacy.started_at + self.timing.campaign;
+        let Some(candidacy) = &self.candidacy else { return self.begin_campaign_if_due(now, rank, outputs) };
+        let has_lapsed = candidacy.is_elected && now >= candidacy.lease_until(self.timing.lease_duration);
+        let has_failed = !candidacy.is_elected && now >= candidacy.started_at + self.timing.campaign_timeout;
         if has_lapsed || has_failed {
             self.failed_campaigns = self.failed_campaigns.saturating_add(u32::from(has_failed));
             return self.resign();
@@ -266,14 +266,14 @@
     }
 
     /// Begins a campaign when the lease is free and the wait by rank is over.
-    fn consider_campaign(&mut self, now: MonotonicTime, rank: usize, outputs: &mut Vec<Output>) {
-        if now < self.votes_from || self.is_bound(now) {
+    fn begin_campaign_if_due(&mut self, now: MonotonicTime, rank: usize, outputs: &mut Vec<Output>) {
+        if now < self.votes_from || self.has_active_grant(now) {
             self.campaign_at = None;
             return;
         }
         let campaign_at = match self.campaign_at {
             Some(campaign_at) => campaign_at,
-            None => now + self.wait_by_rank(rank),
+            None => now + self.campaign_delay(rank),
         };
         self.campaign_at = Some(campaign_at);
         if now < campaign_at {
@@ -294,24 +294,25 @@
 
     /// The wait of the first rank is none. After each campaign that failed it is longer by a random time out of a
     /// span that grows.
-    fn wait_by_rank(&self, rank: usize) -> Duration {
-        let stagger = self.timing.stagger;
+    fn campaign_delay(&self, rank: usize) -> Duration {
+        let rank_delay = self.timing.rank_delay;
         let steps = rank.min(MAX_RANK) as u32;
-        let span = duration_micros(stagger) * u64::from(self.failed_campaigns.min(MAX_BACKOFF_STEPS));
+        let span = duration_micros(rank_delay) * u64::from(self.failed_campaigns.min(MAX_BACKOFF_STEPS));
         let random = mix(self.seed ^ u64::from(self.campaigns)) % span.max(1);
-        stagger * steps + Duration::from_micros(random)
+        rank_delay * steps + Duration::from_micros(random)
     }
 
     /// Sends the request of the next round, or that of the campaign once more, and votes for itself.
     fn send_request(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let Some(candidacy) = &mut self.candidacy else { return };
-        let interval = if candidacy.is_elected { self.timing.renewal } else { self.timing.repeat };
+        let interval =
+            if candidacy.is_elected { self.timing.renewal_interval } else { self.timing.resend_interval };
         let request = candidacy.next_request(now, interval);
         if self.vote(now, self.own_member, request) {
             let Some(candidacy) = &mut self.candidacy else { return };
             candidacy.confirm(self.own_voter, request.round);
             // A group of one voter needs nobody else.
-            if now < candidacy.lease_until(self.timing.lease) {
+            if now < candidacy.lease_until(self.timing.lease_duration) {
                 candidacy.is_elected = true;
                 self.highest_granted = self.highest_granted.max(request.term);
             }
--- a/crates/cluster/src/tiers/election/voting.rs
+++ b/crates/cluster/src/tiers/election/voting.rs
@@ -19,16 +19,17 @@
     /// Whether this gateway gives up its own campaign for another one: of two at one time the one of the later term
     /// goes on, or of the lower member, so that votes are not split for ever.
     pub(super) fn yields_to(&self, now: MonotonicTime, candidate: u16, request: Request) -> bool {
-        let is_before =
+        let comes_before_own =
             |own: &Candidacy| !own.is_elected && (request.term, self.own_member) > (own.term, candidate);
-        let is_before = self.candidacy.as_ref().is_some_and(is_before);
-        is_before && !request.is_renewal && self.allows_campaign(now, candidate, request)
+        let comes_before_own = self.candidacy.as_ref().is_some_and(comes_before_own);
+        comes_before_own && !request.is_renewal && self.allows_campaign(now, candidate, request)
     }
 
     /// Whether the candidate needs to know of a later term.
-    pub(super) fn is_in_vain(&self, candidate: u16, request: Request) -> bool {
-        let is_anothers = |granted: &Granted| granted.candidate != candidate && granted.term == request.term;
-        request.term < self.highest_term || self.granted.as_ref().is_some_and(is_anothers)
+    pub(super) fn needs_refusal(&self, candidate: u16, request: Request) -> bool {
+        let is_granted_to_other =
+            |granted: &Granted| granted.candidate != candidate && granted.term == request.term;
+        request.term < self.highest_term || self.granted.as_ref().is_some_and(is_granted_to_other)
     }
 
     /// T2: grants the request if nobody else has a grant that still holds. A campaign needs a term above all that were
@@ -38,7 +39,7 @@
         if now < self.votes_from || request.is_renewal && is_outdated {
             return false;
         }
-        let until = now + self.timing.grant;
+        let until = now + self.timing.grant_duration;
         if let Some(granted) = &mut self.granted {
             if granted.candidate == candidate && granted.term == request.term {
                 if request.is_renewal {
@@ -48,7 +49,8 @@
                 return request.is_renewal || granted.round == request.round && now < granted.until;
             }
         }
-        if self.is_bound(now) || !request.is_renewal && !self.allows_campaign(now, candidate, request) {
+        if self.has_active_grant(now) || !request.is_renewal && !self.allows_campaign(now, candidate, request)
+        {
             return false;
         }
         self.highest_term = self.highest_term.max(request.term);
@@ -61,18 +63,18 @@
     }
 
     /// Whether a grant still holds.
-    pub(super) fn is_bound(&self, now: MonotonicTime) -> bool {
+    pub(super) fn has_active_grant(&self, now: MonotonicTime) -> bool {
         self.granted.is_some_and(|granted| now < granted.until)
     }
 
     /// Whether a free voter grants a campaign: its term is a new one, and the candidate is not one whose campaign was
     /// granted of late and never became a lease, since it hears nobody.
     fn allows_campaign(&self, now: MonotonicTime, candidate: u16, request: Request) -> bool {
-        let is_passed_over = self.granted.is_some_and(|granted| {
+        let is_in_cooldown = self.granted.is_some_and(|granted| {
             let never_became_lease = granted.candidate == candidate && !granted.was_renewed;
-            never_became_lease && now < granted.until + self.timing.passed_over
+            never_became_lease && now < granted.until + self.timing.candidate_cooldown
         });
         let is_new_term = request.term > self.highest_granted && request.term >= self.highest_term;
-        is_new_term && (candidate == self.own_member || !is_passed_over)
+        is_new_term && (candidate == self.own_member || !is_in_cooldown)
     }
 }
--- a/crates/cluster/src/tiers/offices.rs
+++ b/crates/cluster/src/tiers/offices.rs
@@ -17,35 +17,35 @@
 
     /// Notes which leases began and ended. A representative votes above only when all that one before it may have
     /// granted has run out: so this comes before and after each input.
-    pub(super) fn update_offices(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    pub(super) fn update_held_leases(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         for tier in Tier::ALL {
             let held = self.represents(now, tier);
-            let before = std::mem::replace(&mut self.offices[tier.index()], held);
+            let before = std::mem::replace(&mut self.held_terms[tier.index()], held);
             if held == before {
                 continue;
             }
             if before.is_some() {
-                self.end_office(tier);
+                self.on_lease_lost(tier);
                 outputs.push(Output::Resigned { tier });
             }
             if let Some(term) = held {
-                self.begin_office(now, tier);
+                self.on_lease_acquired(now, tier);
                 outputs.push(Output::Elected { tier, term });
             }
         }
     }
 
-    fn end_office(&mut self, tier: Tier) {
+    fn on_lease_lost(&mut self, tier: Tier) {
         for above in Tier::ALL.into_iter().filter(|above| *above > tier) {
             self.elections[above.index()].resign();
         }
     }
 
-    fn begin_office(&mut self, now: MonotonicTime, tier: Tier) {
+    fn on_lease_acquired(&mut self, now: MonotonicTime, tier: Tier) {
         if let Some(above) = tier.above() {
             let known_term = self.tables[tier.index()].term();
             let election = &mut self.elections[above.index()];
-            election.enter_office(now);
+            election.reset_voter(now);
             election.handle(now, ElectionInput::TermObserved { term: known_term }, &mut Vec::new());
         }
         self.outgoing[tier.index()].next_at = now;
@@ -64,7 +64,7 @@
 
     pub(super) fn tick_election(&mut self, now: MonotonicTime, tier: Tier, outputs: &mut Vec<Output>) {
         let rank = self.rank(now, tier);
-        if rank.is_none() && self.offices[tier.index()].is_none() && tier != Tier::Site {
+        if rank.is_none() && self.held_terms[tier.index()].is_none() && tier != Tier::Site {
             return;
         }
         self.elect(now, tier, ElectionInput::Tick { rank }, outputs);
@@ -130,7 +130,7 @@
         let siblings = self.topology.siblings(tier, self.own_groups[tier.index()]);
         let contacts = &mut self.contacts[tier.index()];
         let others = siblings.iter().enumerate().filter(|(place, _)| *place != own_place);
-        others.map(|(place, group)| contacts.address(now, &self.topology, place, *group)).collect()
+        others.map(|(place, group)| contacts.recipient(now, &self.topology, place, *group)).collect()
     }
 }
 
--- a/crates/cluster/src/tiers/receiving.rs
+++ b/crates/cluster/src/tiers/receiving.rs
@@ -3,7 +3,7 @@
 use super::election::Input as ElectionInput;
 use super::message::{Content, Message, Request, Table};
 use super::offices::author_tier;
-use super::reports::Receipt;
+use super::reports::ReportOutcome;
 use super::topology::Tier;
 use super::{Output, TieredMembership};
 use larchway::MonotonicTime;
@@ -28,7 +28,7 @@
             Content::Refusal { term } if is_own_group && self.is_of_group(from, tier) => {
                 self.elect(now, tier, ElectionInput::Refused { term }, outputs);
             }
-            Content::StaleReport { term } if is_own_group && self.is_of_siblings(from, tier) => {
+            Content::StaleReport { term } if is_own_group && self.is_of_sibling_group(from, tier) => {
                 self.elect(now, tier, ElectionInput::TermObserved { term }, outputs);
             }
             Content::Redirect { representative } => {
@@ -48,7 +48,7 @@
     }
 
     /// Whether a member is of the own group of a tier, or of one beside it.
-    fn is_of_siblings(&self, member: u16, tier: Tier) -> bool {
+    fn is_of_sibling_group(&self, member: u16, tier: Tier) -> bool {
         tier.above().is_none_or(|above| self.is_of_group(member, above))
     }
 
@@ -75,7 +75,7 @@
                 return self.redirect(now, from, below, outputs);
             }
             if let Some(place) = self.place_of(from, below) {
-                self.contacts[below.index()].note(now, place, from);
+                self.contacts[below.index()].record(now, place, from);
             }
         }
         self.elect(now, tier, ElectionInput::Request { candidate: from, request }, outputs);
@@ -98,7 +98,7 @@
         };
         let Some(voter) = voter else { return };
         if let Some(below) = tier.below() {
-            self.contacts[below.index()].note(now, voter, from);
+            self.contacts[below.index()].record(now, voter, from);
         }
         self.elect(now, tier, ElectionInput::Grant { voter, term, round }, outputs);
     }
@@ -126,7 +126,7 @@
             return;
         }
         if let Some(place) = self.place_of(representative, tier) {
-            let is_new = self.contacts[tier.index()].note(now, place, representative);
+            let is_new = self.contacts[tier.index()].record(now, place, representative);
             if is_new && tier == Tier::Region && representative != self.own_member {
                 self.send_region_report(now, representative, outputs);
             }
@@ -141,20 +141,21 @@
         (version, count): (Version, Count),
         outputs: &mut Vec<Output>,
     ) {
-        let is_senders = self.topology.group_of(tier, from) == Some(group);
-        let Some(place) = self.place_of(from, tier).filter(|_| is_senders) else { return };
-        let office = author_tier(tier);
+        let is_sender_group = self.topology.group_of(tier, from) == Some(group);
+        let Some(place) = self.place_of(from, tier).filter(|_| is_sender_group) else { return };
+        let publisher_tier = author_tier(tier);
         if place == self.own_places[tier.index()] && tier == Tier::Region {
             return;
         }
-        if self.represents(now, office).is_none() {
-            return self.redirect(now, from, office, outputs);
+        if self.represents(now, publisher_tier).is_none() {
+            return self.redirect(now, from, publisher_tier, outputs);
         }
-        let is_new = self.contacts[tier.index()].note(now, place, from);
+        let is_new = self.contacts[tier.index()].record(now, place, from);
         if is_new && tier == Tier::Region {
             self.send_region_report(now, from, outputs);
         }
-        if let Receipt::Stale { term } = self.reports[tier.index()].receive(now, place, from, version, count)
+        if let ReportOutcome::Stale { term } =
+            self.reports[tier.index()].receive(now, place, from, version, count)
         {
             self.send_message(from, tier, group, Content::StaleReport { term }, outputs);
         }
@@ -179,16 +180,17 @@
         table: Table,
         outputs: &mut Vec<Output>,
     ) {
-        let office = author_tier(listed);
-        let is_own = group == self.own_groups[office.index()];
-        let is_from_group = self.is_of_group(from, office) && self.is_of_group(table.author, office);
-        if !is_own || !is_from_group || self.represents(now, office).is_some() {
+        let publisher_tier = author_tier(listed);
+        let is_own_group = group == self.own_groups[publisher_tier.index()];
+        let is_from_group =
+            self.is_of_group(from, publisher_tier) && self.is_of_group(table.author, publisher_tier);
+        if !is_own_group || !is_from_group || self.represents(now, publisher_tier).is_some() {
             return;
         }
         let author = table.author;
         let known_term = self.tables[listed.index()].receive(now, table);
         if let Some(term) = known_term.filter(|_| author != self.own_member) {
-            self.send_message(author, office, group, Content::StaleReport { term }, outputs);
+            self.send_message(author, publisher_tier, group, Content::StaleReport { term }, outputs);
         }
     }
 }
--- a/crates/cluster/src/tiers/reports.rs
+++ b/crates/cluster/src/tiers/reports.rs
@@ -15,9 +15,9 @@
 
 /// What became of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Receipt {
+pub enum ReportOutcome {
     /// It is the latest now.
-    Taken,
+    Accepted,
     /// It is not later than the one known: a duplicate, or late on its way.
     Ignored,
     /// It is of an earlier representative than the one known (T4).
@@ -53,21 +53,21 @@
         author: u16,
         version: Version,
         count: Count,
-    ) -> Receipt {
+    ) -> ReportOutcome {
         let known = self.latest.get(place).copied().flatten();
         if let Some(known) = known {
             let is_fresh = self.is_fresh(&known, now);
-            let is_anothers = version.term == known.version.term && author != known.author;
-            if version.term < known.version.term || is_anothers && is_fresh {
-                return Receipt::Stale { term: known.version.term };
+            let is_from_other_author = version.term == known.version.term && author != known.author;
+            if version.term < known.version.term || is_from_other_author && is_fresh {
+                return ReportOutcome::Stale { term: known.version.term };
             }
             if is_fresh && version <= known.version {
-                return Receipt::Ignored;
+                return ReportOutcome::Ignored;
             }
         }
-        let Some(latest) = self.latest.get_mut(place) else { return Receipt::Ignored };
+        let Some(latest) = self.latest.get_mut(place) else { return ReportOutcome::Ignored };
         *latest = Some(Report { version, author, count, received_at: now });
-        Receipt::Taken
+        ReportOutcome::Accepted
     }
 
     /// The numbers of a group of this size: unknown without a report of late (T6), and never beyond its size (T5).
--- a/crates/cluster/src/tiers/tables.rs
+++ b/crates/cluster/src/tiers/tables.rs
@@ -62,13 +62,13 @@
 
     /// Publishes numbers as the representative of this term, if they have changed or are to be refreshed.
     pub(super) fn publish(&mut self, now: MonotonicTime, author: u16, term: u32, counts: Vec<Count>) {
-        let is_same_office = (self.table.author, self.table.version.term) == (author, term);
-        let is_changed = !is_same_office || self.table.counts != counts;
+        let is_same_term = (self.table.author, self.table.version.term) == (author, term);
+        let is_changed = !is_same_term || self.table.counts != counts;
         let is_due = self.updated_at.is_none_or(|at| now >= at + REFRESH_INTERVAL);
         if !is_changed && !is_due {
             return;
         }
-        let sequence = if is_same_office { self.table.version.sequence.wrapping_add(1) } else { 1 };
+        let sequence = if is_same_term { self.table.version.sequence.wrapping_add(1) } else { 1 };
         self.replace(now, Table { author, version: Version { term, sequence }, counts });
     }
 
@@ -78,8 +78,8 @@
     pub(super) fn receive(&mut self, now: MonotonicTime, table: Table) -> Option<u32> {
         let (known, received) = (self.table.version.term, table.version.term);
         let is_fresh = self.is_fresh(now);
-        let is_anothers = received == known && table.author != self.table.author;
-        if is_fresh && (received < known || is_anothers) {
+        let is_from_other_author = received == known && table.author != self.table.author;
+        if is_fresh && (received < known || is_from_other_author) {
             return Some(known);
         }
         let is_usable = table.counts.len() == self.sizes.len();
--- a/crates/cluster/src/tiers/timing.rs
+++ b/crates/cluster/src/tiers/timing.rs
@@ -5,43 +5,43 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ElectionTiming {
     /// How long a lease holds after the request was sent that a majority granted.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// How long a voter that granted a request grants no other, after it received it: longer than `lease`, by what
     /// clocks may differ in rate meanwhile.
-    pub grant: Duration,
+    pub grant_duration: Duration,
     /// How long a voter does not vote after it started or came into office: `grant`, since it may have forgotten one.
     pub vote_delay: Duration,
     /// Time between two renewals.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
     /// Time between two sendings of a campaign's request.
-    pub repeat: Duration,
+    pub resend_interval: Duration,
     /// How long a campaign waits for a majority.
-    pub campaign: Duration,
+    pub campaign_timeout: Duration,
     /// Time between the campaigns of two candidates of neighbouring ranks.
-    pub stagger: Duration,
+    pub rank_delay: Duration,
     /// How long a candidate is passed over that was granted a campaign and never renewed it.
-    pub passed_over: Duration,
+    pub candidate_cooldown: Duration,
 }
 
 impl Default for ElectionTiming {
     fn default() -> Self {
-        let grant = Duration::from_millis(1300);
+        let grant_duration = Duration::from_millis(1300);
         ElectionTiming {
-            lease: Duration::from_millis(1200),
-            grant,
-            vote_delay: grant,
-            renewal: Duration::from_millis(200),
-            repeat: Duration::from_millis(100),
-            campaign: Duration::from_millis(500),
-            stagger: Duration::from_millis(150),
-            passed_over: Duration::from_secs(1),
+            lease_duration: Duration::from_millis(1200),
+            grant_duration,
+            vote_delay: grant_duration,
+            renewal_interval: Duration::from_millis(200),
+            resend_interval: Duration::from_millis(100),
+            campaign_timeout: Duration::from_millis(500),
+            rank_delay: Duration::from_millis(150),
+            candidate_cooldown: Duration::from_secs(1),
         }
     }
 }
 
 /// Ranks that differ in the wait before a campaign.
 pub(super) const MAX_RANK: usize = 8;
-/// Steps of [`ElectionTiming::stagger`] at most from which the wait after failed campaigns is chosen.
+/// Steps of [`ElectionTiming::rank_delay`] at most from which the wait after failed campaigns is chosen.
 pub(super) const MAX_BACKOFF_STEPS: u32 = 8;
 
 /// Time between two ticks at most.
--- a/crates/cluster/src/tiers/topology.rs
+++ b/crates/cluster/src/tiers/topology.rs
@@ -299,11 +299,11 @@
     }
 
     /// Some member of a group; which one, `choice` decides.
-    pub fn some_member(&self, tier: Tier, group: u16, choice: u64) -> u16 {
+    pub fn pick_member(&self, tier: Tier, group: u16, choice: u64) -> u16 {
         let children = self.children(tier, group);
         let chosen = children[(choice % children.len() as u64) as usize];
         match tier.below() {
-            Some(below) => self.some_member(below, chosen, larchway::mix(choice)),
+            Some(below) => self.pick_member(below, chosen, larchway::mix(choice)),
             None => chosen,
         }
     }
--- a/gateway/src/peers/cluster.rs
+++ b/gateway/src/peers/cluster.rs
@@ -4,7 +4,7 @@
 use super::PeerSettings;
 use larchway::{MonotonicTime, Quotas, ServerId, Shares};
 use larchway_cluster::failure_detector;
-use larchway_cluster::lease::{self, Lease, LeaseSettings, Standing};
+use larchway_cluster::lease::{self, Lease, LeaseSettings, NodeCounts};
 use larchway_cluster::store_health::{self, HealthGossip, HealthReport, StoreHealth};
 use larchway_cluster::tiers::{Input, Output};
 use larchway_cluster::wire::DecodeError;
@@ -52,7 +52,7 @@
     /// The quotas of which the decision module was last notified, if they are leased.
     quotas: Option<Quotas>,
     /// The gateways whose nodes exist, while the lease is held.
-    standing: Option<Standing>,
+    standing: Option<NodeCounts>,
 }
 
 #[derive(Serialize)]
@@ -120,7 +120,7 @@
         self.quotas
     }
 
-    pub(super) fn standing(&self) -> Option<Standing> {
+    pub(super) fn standing(&self) -> Option<NodeCounts> {
         self.standing
     }
 
@@ -194,10 +194,10 @@
 
     /// Computes the quotas that may be used.
     pub(super) fn update_quotas(&mut self, now: MonotonicTime) -> QuotaChange {
-        let settings = LeaseSettings::of(&self.file);
+        let settings = LeaseSettings::from_file(&self.file);
         let quotas = self.quotas_leased.then(|| self.lease.share(&settings, now));
         let is_held = quotas.is_some_and(|quotas| now < quotas.until);
-        let standing = is_held.then(|| self.lease.standing(&settings, now));
+        let standing = is_held.then(|| self.lease.node_counts(&settings, now));
         let changed = quotas_differ(self.quotas.as_ref(), quotas.as_ref()) || self.standing != standing;
         self.quotas = quotas;
         self.standing = standing;
@@ -222,8 +222,8 @@
     }
 
     fn lease_report(&self, now: MonotonicTime) -> LeaseReport {
-        let settings = LeaseSettings::of(&self.file);
-        let standing = self.lease.standing(&settings, now);
+        let settings = LeaseSettings::from_file(&self.file);
+        let standing = self.lease.node_counts(&settings, now);
         let shares = match self.quotas_leased {
             true => self.lease.share(&settings, now).now(now),
             false => self.lease.configured_share(),
--- a/gateway/src/peers/mod.rs
+++ b/gateway/src/peers/mod.rs
@@ -9,7 +9,7 @@
 use cluster::{Cluster, HealthRound, QuotaChange};
 use datagrams::membership_time;
 use larchway::{MonotonicTime, Quotas, ServerId};
-use larchway_cluster::lease::{self, Standing};
+use larchway_cluster::lease::{self, NodeCounts};
 use larchway_cluster::tiers;
 use larchway_cluster::wire::{DecodeError, MessageKind};
 use larchway_load_sharing::{Input, LoadSharing, Output, TierPosition};
@@ -144,7 +144,7 @@
 
     /// The number of gateways whose nodes exist, while the lease is held. The load of the others is estimated by it;
     /// quotas go by [`Peers::quotas`].
-    pub fn standing(&self) -> Option<Standing> {
+    pub fn standing(&self) -> Option<NodeCounts> {
         self.cluster.as_ref().and_then(Cluster::standing)
     }
 
--- a/lab/src/trial/capacity/fleet.rs
+++ b/lab/src/trial/capacity/fleet.rs
@@ -229,7 +229,7 @@
     let quantities =
         [("processor_time_of_a_change", "us"), ("processor_time_of_a_share", "us"), ("memory", "bytes")];
     let mut sizes = Sizes::new("lease", "nodes", &quantities);
-    let terms = LeaseSettings::of(&FleetFile::default());
+    let terms = LeaseSettings::from_file(&FleetFile::default());
     for nodes in NODES {
         let size = ClusterSize { all: nodes as u64, own_zone: (nodes / ZONES) as u64, zone: 1 };
         let mut lease = Lease::new(size);
@@ -253,7 +253,7 @@
         }
         let before = thread_processor_us()?;
         let stood: u64 =
-            (0..CHURN).map(|at| lease.standing(&terms, now + Duration::from_micros(at as u64)).all).sum();
+            (0..CHURN).map(|at| lease.node_counts(&terms, now + Duration::from_micros(at as u64)).all).sum();
         let share = (thread_processor_us()? - before) as f64 / CHURN as f64;
         if stood != (nodes * CHURN) as u64 {
             return Err(TrialError::Unexpected(format!("{nodes} nodes: {stood} counted in {CHURN} times")));
--- a/lab/src/trial/cluster/tiers/observer.rs
+++ b/lab/src/trial/cluster/tiers/observer.rs
@@ -126,7 +126,7 @@
                 let (size, live) = (topology.size(tier, group), truth.live(tier, group));
                 if count.dead(size) > size - live {
                     self.removed_in_numbers += 1;
-                    self.list(member, topology.some_member(tier, group, 0), world.ms());
+                    self.list(member, topology.pick_member(tier, group, 0), world.ms());
                 }
                 is_unknown |= count.live < live;
                 self.unknown_by_tier[tier.index()] += u64::from(count.live < live);
