--- a/crates/cluster/src/failure_detector/exchange.rs
+++ b/crates/cluster/src/failure_detector/exchange.rs
@@ -54,12 +54,12 @@
         let own =
             ReportedHeartbeat { member: from, reporter: from, heartbeat: gossip.own, paused: gossip.paused };
         self.apply_heartbeat(now, own, outputs);
-        let window = (usize::from(gossip.first)..).zip(&gossip.window);
+        let window = (usize::from(gossip.window_start)..).zip(&gossip.window);
         let window = window.filter_map(|(number, heartbeat)| Some((u16::try_from(number).ok()?, *heartbeat)));
         let claimed = gossip.claims.iter().map(|claim| (claim.member, claim.heartbeat));
         for (member, heartbeat) in window.chain(claimed) {
             if member == self.own_member {
-                self.refute_own_heartbeat(heartbeat);
+                self.refute_claim_about_self(heartbeat);
             } else if member != from && self.is_other(member) {
                 let reported = ReportedHeartbeat { member, reporter: from, heartbeat, paused: false };
                 self.apply_heartbeat(now, reported, outputs);
@@ -95,13 +95,13 @@
 
     fn build_gossip(&mut self, now: MonotonicTime, wanted: &[u16]) -> Gossip {
         let claimed = self.members_to_claim(now, wanted);
-        let (first, window) = self.next_window(claimed.len());
+        let (window_start, window) = self.next_window(claimed.len());
         Gossip {
             own: self.own_heartbeat(now),
             paused: now < self.announce_pause_until,
             isolated: self.isolated,
             claims: claimed.into_iter().map(|member| self.claim_about(member, now)).collect(),
-            first,
+            window_start,
             window,
         }
     }
@@ -111,9 +111,10 @@
         // The sender's configuration may be newer, and have more members.
         let mut claimed: Vec<u16> = wanted.iter().copied().filter(|member| self.is_other(*member)).collect();
         claimed.truncate(MAX_CLAIMS);
-        let mut urgent: Vec<u16> = self.others().filter(|member| self.is_urgent(*member, now)).collect();
-        while claimed.len() < MAX_CLAIMS && !urgent.is_empty() {
-            let next = urgent.swap_remove(self.random.below(urgent.len()));
+        let mut to_announce: Vec<u16> =
+            self.others().filter(|member| self.needs_announcement(*member, now)).collect();
+        while claimed.len() < MAX_CLAIMS && !to_announce.is_empty() {
+            let next = to_announce.swap_remove(self.random.below(to_announce.len()));
             if !claimed.contains(&next) {
                 claimed.push(next);
             }
@@ -123,11 +124,11 @@
 
     /// Whether all should hear of a member: it is suspected, or that was just refuted, or it has just been found dead.
     /// A death is claimed for as long as the state is held, so that those who were late come to it.
-    fn is_urgent(&self, number: u16, now: MonotonicTime) -> bool {
+    fn needs_announcement(&self, number: u16, now: MonotonicTime) -> bool {
         let member = self.member(number);
-        let doubted = member.suspected_since.is_some() || now < member.announce_refutation_until;
-        let newly_dead = member.dead && member.changed_within(now, STATE_HOLD);
-        !member.left && (doubted || newly_dead)
+        let is_or_was_suspected = member.suspected_since.is_some() || now < member.announce_refutation_until;
+        let is_newly_dead = member.dead && member.changed_within(now, STATE_HOLD);
+        !member.left && (is_or_was_suspected || is_newly_dead)
     }
 
     /// The next heartbeats in the order of the members' numbers, as many as fit beside so many claims.
--- a/crates/cluster/src/failure_detector/member.rs
+++ b/crates/cluster/src/failure_detector/member.rs
@@ -72,11 +72,11 @@
 
     /// When its latest known beat was.
     pub(super) fn last_alive_at(&self) -> MonotonicTime {
-        self.first_beat_at + self.beats_span()
+        self.first_beat_at + self.time_since_first_beat()
     }
 
     /// The time from its beat 0 to its latest known one.
-    fn beats_span(&self) -> Duration {
+    fn time_since_first_beat(&self) -> Duration {
         Duration::from_micros(self.beat_count * duration_micros(BEAT_INTERVAL))
     }
 
@@ -105,7 +105,7 @@
         self.incarnation = heartbeat.incarnation;
         self.beat = heartbeat.beat;
         self.beat_count = u64::from(heartbeat.beat);
-        self.first_beat_at = now.saturating_sub(self.beats_span());
+        self.first_beat_at = now.saturating_sub(self.time_since_first_beat());
     }
 
     /// Takes a later heartbeat of the same incarnation; one that is not later changes nothing.
@@ -115,7 +115,7 @@
         }
         self.beat_count += u64::from(heartbeat.beat.wrapping_sub(self.beat) & BEAT_MASK);
         self.beat = heartbeat.beat;
-        let first_beat_at = now.saturating_sub(self.beats_span());
+        let first_beat_at = now.saturating_sub(self.time_since_first_beat());
         self.first_beat_at = self.first_beat_at.min(first_beat_at);
     }
 
--- a/crates/cluster/src/failure_detector/probing.rs
+++ b/crates/cluster/src/failure_detector/probing.rs
@@ -70,7 +70,7 @@
         for offset in 0..suspects.len() {
             let target = suspects[(first + offset) % suspects.len()];
             let is_chosen = self.random.below(FRACTION_STEPS) < share_of_probes;
-            if !self.is_suspect_to_probe(now, target, is_chosen) {
+            if !self.should_probe_suspect(now, target, is_chosen) {
                 continue;
             }
             if !self.send_budget.allows(now, 1) {
@@ -81,7 +81,7 @@
     }
 
     /// Whether a suspected member is to be probed now. `is_chosen`: this gateway is one of the few that probe it.
-    fn is_suspect_to_probe(&self, now: MonotonicTime, target: u16, is_chosen: bool) -> bool {
+    fn should_probe_suspect(&self, now: MonotonicTime, target: u16, is_chosen: bool) -> bool {
         let member = self.member(target);
         let mass_failure = self.is_mass_failure();
         let enough_suspectors =
@@ -90,17 +90,19 @@
             return false;
         }
         let pause = self.longest_pause();
-        let pause_over = pause + self.timeout_margin();
+        let pause_with_margin = pause + self.timeout_margin();
         let suspected_for =
             member.suspected_since.map_or(Duration::ZERO, |since| now.saturating_since(since));
         let needs_more_pings = member.unanswered_pings < self.pings_to_suspect();
         // A member that this gateway has begun to ping is pinged until it is suspected; then it is others' turn. M7:
         // and once more when the longest pause is over.
-        let is_begun = member.unanswered_pings > 0 && needs_more_pings;
-        let is_late = suspected_for >= pause / 4 && needs_more_pings;
-        let is_unpinged_after_pause =
-            suspected_for >= pause_over && member.last_ping_at + suspected_for < now + pause_over;
-        is_chosen || is_begun || !mass_failure && (is_late || is_unpinged_after_pause)
+        let has_unanswered_pings = member.unanswered_pings > 0 && needs_more_pings;
+        let is_suspected_for_long = suspected_for >= pause / 4 && needs_more_pings;
+        let is_unpinged_after_pause = suspected_for >= pause_with_margin
+            && member.last_ping_at + suspected_for < now + pause_with_margin;
+        is_chosen
+            || has_unanswered_pings
+            || !mass_failure && (is_suspected_for_long || is_unpinged_after_pause)
     }
 
     /// Retries pings that had no answer in time; before the last retry others are asked to ping the member too.
@@ -109,13 +111,13 @@
         if self.is_mass_failure() {
             return;
         }
-        let is_to_retry = |number: &u16| {
+        let needs_retry = |number: &u16| {
             let member = self.member(*number);
             let retries_left = (1..MIN_UNANSWERED_PINGS).contains(&member.unanswered_pings);
             retries_left && member.last_ping_timed_out(now) && member.is_alive()
         };
         let all = 0..self.members.len() as u16;
-        for target in all.filter(is_to_retry).collect::<Vec<_>>() {
+        for target in all.filter(needs_retry).collect::<Vec<_>>() {
             if !self.send_budget.allows(now, 2) {
                 return;
             }
@@ -145,8 +147,8 @@
     ) {
         let Ok(number) = <[u8; 2]>::try_from(body) else { return };
         let target = u16::from_be_bytes(number);
-        let has_room = self.indirect_probes.len() < MAX_INDIRECT_PROBES;
-        if has_room && self.is_other(target) && self.send_budget.allows(now, 1) {
+        let has_capacity = self.indirect_probes.len() < MAX_INDIRECT_PROBES;
+        if has_capacity && self.is_other(target) && self.send_budget.allows(now, 1) {
             let expires_at = now + INDIRECT_PROBE_TIMEOUT;
             self.indirect_probes.push(IndirectProbe { target, requester, expires_at });
             self.send_ping(now, target, outputs);
@@ -172,7 +174,7 @@
     /// The member to ping in the usual round.
     fn next_probe_target(&mut self) -> Option<u16> {
         if self.is_mass_failure() {
-            if let Some(target) = self.liveliest_of_some() {
+            if let Some(target) = self.most_recently_alive_candidate() {
                 return Some(target);
             }
         }
@@ -187,7 +189,7 @@
     }
 
     /// Of some random members the one with the latest beat: so that those left in a mass failure hear of each other.
-    fn liveliest_of_some(&mut self) -> Option<u16> {
+    fn most_recently_alive_candidate(&mut self) -> Option<u16> {
         let candidates = self.random_alive_others(PROBE_CHOICES);
         candidates.into_iter().max_by_key(|number| {
             let member = self.member(*number);
@@ -209,7 +211,7 @@
     /// The next member of the random order that is not suspected; now and then also one that is not alive.
     fn next_in_random_order(&mut self) -> Option<u16> {
         let probes_dead = self.random.below(DEAD_PROBE_ODDS) == 0;
-        for _pass in 0..2 {
+        for _attempt in 0..2 {
             while let Some(&target) = self.probe_order.get(self.probe_position) {
                 self.probe_position += 1;
                 let member = self.member(target);
--- a/crates/cluster/src/failure_detector/suspicion.rs
+++ b/crates/cluster/src/failure_detector/suspicion.rs
@@ -40,10 +40,10 @@
 impl FailureDetector {
     /// Members that are suspected, by this gateway or others, or about to be.
     pub(super) fn suspects(&self) -> Vec<u16> {
-        let least_pings = self.pings_to_suspect().min(PROBED_UNANSWERED_PINGS);
+        let min_pings = self.pings_to_suspect().min(PROBED_UNANSWERED_PINGS);
         let is_suspect = |number: &u16| {
             let member = self.member(*number);
-            let suspected = member.suspected_since.is_some() || member.unanswered_pings >= least_pings;
+            let suspected = member.suspected_since.is_some() || member.unanswered_pings >= min_pings;
             member.is_alive() && suspected
         };
         self.others().filter(is_suspect).collect()
@@ -68,7 +68,7 @@
         let criteria = self.death_criteria(suspects.len());
         for number in suspects {
             self.suspect_by_own_pings(now, number);
-            if self.is_to_be_dead(now, number, &criteria) {
+            if self.meets_death_criteria(now, number, &criteria) {
                 self.change_state(now, number, |member| member.dead = true, outputs);
             }
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    fn is_to_be_dead(&self, now: MonotonicTime, number: u16, criteria: &DeathCriteria) -> bool {
+    fn meets_death_criteria(&self, now: MonotonicTime, number: u16, criteria: &DeathCriteria) -> bool {
         let member = self.member(number);
         let Some(since) = member.suspected_since else { return false };
         // M5: a state that has just changed stays. M2, M6: nor is anybody dead to a gateway that cannot know.
@@ -106,16 +106,17 @@
         }
         // M7: each gateway pings itself, once more after the longest pause, and in a large tier hears from some others
         // that they know of nothing later. In a mass failure, or where no answer can be had, it goes by others.
-        let suspected_here = self.suspects_by_own_pings(member, now);
+        let suspected_by_own_pings = self.suspects_by_own_pings(member, now);
         let pinged_after_pause = member.last_ping_at >= since + self.longest_pause() + self.timeout_margin()
             && member.last_ping_timed_out(now);
-        let by_own_pings =
-            suspected_here && pinged_after_pause && member.confirmations >= criteria.needed_confirmations;
+        let by_own_pings = suspected_by_own_pings
+            && pinged_after_pause
+            && member.confirmations >= criteria.needed_confirmations;
         let confirmations = CONFIRMATIONS_IN_MASS_FAILURE.min(criteria.possible_suspectors - 1);
         let by_others = criteria.mass_failure
             && now >= since + self.death_timeout()
             && member.confirmations >= confirmations;
-        let suspectors = usize::from(suspected_here) + member.suspected_by.len();
+        let suspectors = usize::from(suspected_by_own_pings) + member.suspected_by.len();
         (by_own_pings || by_others) && suspectors >= criteria.needed_suspectors
             || member.declared_dead_by.len() >= DECLARATIONS_NEEDED
     }
@@ -130,14 +131,14 @@
     /// Members whose beats went on while their state was held (M5).
     fn revive_members_with_recent_beats(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let recent = Duration::from_micros(duration_micros(self.death_timeout()) / 2);
-        let is_back = |number: &u16| {
+        let should_revive = |number: &u16| {
             let member = self.member(*number);
-            let held = member.state_changed_at.is_none() || member.changed_within(now, STATE_HOLD);
-            let beats_go_on = now.saturating_since(member.last_alive_at()) < recent;
-            member.state() == MemberState::Dead && !held && beats_go_on
+            let is_state_held = member.state_changed_at.is_none() || member.changed_within(now, STATE_HOLD);
+            let has_recent_beat = now.saturating_since(member.last_alive_at()) < recent;
+            member.state() == MemberState::Dead && !is_state_held && has_recent_beat
         };
         let all = 0..self.members.len() as u16;
-        for number in all.filter(is_back).collect::<Vec<_>>() {
+        for number in all.filter(should_revive).collect::<Vec<_>>() {
             self.change_state(now, number, |member| member.dead = false, outputs);
         }
     }
@@ -162,9 +163,9 @@
     }
 
     /// Others know of a later incarnation of this gateway than its own: the clock was set back between the two.
-    pub(super) fn refute_own_heartbeat(&mut self, claimed: Heartbeat) {
-        let left_wrongly = claimed.incarnation == self.incarnation && claimed.left && !self.leaving;
-        if is_later_incarnation(claimed.incarnation, self.incarnation) || left_wrongly {
+    pub(super) fn refute_claim_about_self(&mut self, claimed: Heartbeat) {
+        let claims_wrong_leave = claimed.incarnation == self.incarnation && claimed.left && !self.leaving;
+        if is_later_incarnation(claimed.incarnation, self.incarnation) || claims_wrong_leave {
             self.incarnation = claimed.incarnation.wrapping_add(1).max(1);
         }
     }
@@ -193,7 +194,7 @@
         } else {
             member.advance(now, heartbeat);
         }
-        self.count_ping_lost_on_the_way(number);
+        self.count_lost_ping(number);
         self.refute_suspicion(now, number, is_new_incarnation, is_direct);
         // M3, M5: a new incarnation, or one that reports its own pause, refutes a death at once.
         if is_new_incarnation || reported.paused {
@@ -230,7 +231,7 @@
     /// M4: a beat from after the first unanswered ping shows that the ping, or its answer, was lost. So does one of
     /// the same moment: after a pause all that waited is dated like the pings of that turn, and they would count for
     /// ever neither as lost nor as unanswered.
-    fn count_ping_lost_on_the_way(&mut self, number: u16) {
+    fn count_lost_ping(&mut self, number: u16) {
         let member = self.member(number);
         if member.unanswered_pings > 0 && member.last_alive_at() >= member.first_unanswered_ping_at {
             self.ping_loss += PING_LOSS_WEIGHT * (1.0 - self.ping_loss);
@@ -256,16 +257,16 @@
 
     /// Counts a datagram of another member that had nothing later of a suspected one, after the longest pause.
     fn count_confirmation(&mut self, now: MonotonicTime, number: u16) {
-        let pause_over = self.longest_pause() + PING_TIMEOUT;
+        let pause_with_margin = self.longest_pause() + PING_TIMEOUT;
         let member = self.member_mut(number);
-        if member.suspected_since.is_some_and(|since| now.saturating_since(since) >= pause_over) {
+        if member.suspected_since.is_some_and(|since| now.saturating_since(since) >= pause_with_margin) {
             member.confirmations = member.confirmations.saturating_add(1);
         }
     }
 
     /// Takes in whether `reporter` suspects a member.
     pub(super) fn apply_suspicion(&mut self, now: MonotonicTime, reporter: u16, claim: &MemberClaim) {
-        let pause_over = self.longest_pause() + PING_TIMEOUT;
+        let pause_with_margin = self.longest_pause() + PING_TIMEOUT;
         let Some(member) = self.members.get_mut(usize::from(claim.member)) else { return };
         if !member.is_alive() || claim.heartbeat.incarnation != member.incarnation {
             return;
@@ -282,7 +283,7 @@
             }
             ClaimedState::Dead => {
                 // M4: no beat since the longest pause is known here.
-                if now.saturating_since(member.last_alive_at()) >= pause_over {
+                if now.saturating_since(member.last_alive_at()) >= pause_with_margin {
                     member.suspected_since = member.suspected_since.or(Some(now));
                     member.add_death_declaration(reporter);
                 }
--- a/crates/cluster/src/failure_detector/thresholds.rs
+++ b/crates/cluster/src/failure_detector/thresholds.rs
@@ -33,8 +33,8 @@
         let loss = self.ping_loss.clamp(*ASSUMED_PING_LOSS.start(), *ASSUMED_PING_LOSS.end());
         let pings = (ACCEPTED_LOSS_PROBABILITY.ln() / loss.ln()).round();
         // Where there is no time to ping each more than once, one ping is enough, and more members must suspect.
-        let least = if self.is_mass_failure() { 1 } else { MIN_UNANSWERED_PINGS };
-        (pings as u8).clamp(least, MAX_UNANSWERED_PINGS)
+        let min_pings = if self.is_mass_failure() { 1 } else { MIN_UNANSWERED_PINGS };
+        (pings as u8).clamp(min_pings, MAX_UNANSWERED_PINGS)
     }
 
     /// Whether so many members are silent, or were until now, that there is no time for own pings to each.
--- a/crates/cluster/src/fleet_file.rs
+++ b/crates/cluster/src/fleet_file.rs
@@ -68,16 +68,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum FleetFileError {
     /// A time is out of its range, ms.
-    #[error("{key}: {value} is not from {least} to {most}")]
+    #[error("{key}: {value} is not from {min} to {max}")]
     OutOfRange {
         /// Its key in the file.
         key: &'static str,
         /// Its value.
         value: u64,
         /// The least value that is accepted.
-        least: u64,
+        min: u64,
         /// The greatest value that is accepted.
-        most: u64,
+        max: u64,
     },
     /// The floor is out of its range.
     #[error("floor: {floor} is not from {} to {}", FLOOR.start(), FLOOR.end())]
@@ -131,5 +131,5 @@
     if range.contains(&value) {
         return Ok(());
     }
-    Err(FleetFileError::OutOfRange { key, value, least: *range.start(), most: *range.end() })
+    Err(FleetFileError::OutOfRange { key, value, min: *range.start(), max: *range.end() })
 }
--- a/crates/cluster/src/store_health.rs
+++ b/crates/cluster/src/store_health.rs
@@ -82,7 +82,7 @@
 #[derive(Debug, Default)]
 pub struct HealthGossip {
     /// When each was first received within its lifetime, at most [`MAX_REPORTS`].
-    known: BTreeMap<(ServerId, StoreHealth), MonotonicTime>,
+    first_received: BTreeMap<(ServerId, StoreHealth), MonotonicTime>,
     /// Reports to send, at most [`MAX_REPORTS_PER_DATAGRAM`]; at the bound further ones are dropped.
     pending: Vec<HealthReport>,
     /// Reports of this gateway's own observations so far.
@@ -94,7 +94,7 @@
 impl HealthGossip {
     /// Records that this gateway, the member `origin`, observed a store's health itself.
     pub fn observe(&mut self, now: MonotonicTime, origin: u16, store: ServerId, health: StoreHealth) {
-        if self.remember(now, store, health) {
+        if self.record(now, store, health) {
             self.originated += 1;
             self.enqueue(HealthReport { store, health, hops: 0, origin });
         }
@@ -103,7 +103,7 @@
     /// Records reports of another gateway. Returns those that are new, and enqueues them for forwarding.
     pub fn receive(&mut self, now: MonotonicTime, reports: Vec<HealthReport>) -> Vec<HealthReport> {
         let mut new = reports;
-        new.retain(|report| self.remember(now, report.store, report.health));
+        new.retain(|report| self.record(now, report.store, report.health));
         self.received += new.len() as u64;
         for report in new.iter().filter(|report| report.hops < MAX_HOPS) {
             self.enqueue(HealthReport { hops: report.hops + 1, ..*report });
@@ -117,24 +117,24 @@
     }
 
     /// Remembers a report; returns whether it is new.
-    fn remember(&mut self, now: MonotonicTime, store: ServerId, health: StoreHealth) -> bool {
-        let last = self.known.get(&(store, health));
+    fn record(&mut self, now: MonotonicTime, store: ServerId, health: StoreHealth) -> bool {
+        let last = self.first_received.get(&(store, health));
         if last.is_some_and(|received_at| now < *received_at + REPORT_LIFETIME) {
             return false;
         }
-        if self.known.len() >= MAX_REPORTS {
-            self.make_room(now);
+        if self.first_received.len() >= MAX_REPORTS {
+            self.evict_oldest(now);
         }
-        self.known.insert((store, health), now);
+        self.first_received.insert((store, health), now);
         true
     }
 
     /// Drops expired reports, and the oldest of those that are left.
-    fn make_room(&mut self, now: MonotonicTime) {
-        self.known.retain(|_, received_at| now < *received_at + REPORT_LIFETIME);
-        let oldest = self.known.iter().min_by_key(|(_, received_at)| **received_at);
+    fn evict_oldest(&mut self, now: MonotonicTime) {
+        self.first_received.retain(|_, received_at| now < *received_at + REPORT_LIFETIME);
+        let oldest = self.first_received.iter().min_by_key(|(_, received_at)| **received_at);
         if let Some(key) = oldest.map(|(key, _)| *key) {
-            self.known.remove(&key);
+            self.first_received.remove(&key);
         }
     }
 
--- a/crates/cluster/src/store_health/tests.rs
+++ b/crates/cluster/src/store_health/tests.rs
@@ -28,7 +28,9 @@
     let mut gossip = HealthGossip::default();
     let report = |store| HealthReport { store, health: StoreHealth::Recovered, hops: 0, origin: 1 };
     gossip.receive(at(5), (0..5000).map(report).collect());
-    assert!(gossip.known.len() <= MAX_REPORTS && gossip.take_pending().len() == MAX_REPORTS_PER_DATAGRAM);
+    assert!(
+        gossip.first_received.len() <= MAX_REPORTS && gossip.take_pending().len() == MAX_REPORTS_PER_DATAGRAM
+    );
     assert!(decode(&[0; REPORT_BYTES - 1]).is_none());
     assert!(decode(&[9; REPORT_BYTES]).is_none() && decode(&[]) == Some(vec![]));
 }
--- a/crates/cluster/src/tiers/candidacy.rs
+++ b/crates/cluster/src/tiers/candidacy.rs
@@ -25,7 +25,7 @@
     rounds: Vec<Round>,
     next_round: u32,
     /// By voter, when the latest request was sent that it granted; [`MonotonicTime::MIN`] for none.
-    confirmed: Vec<MonotonicTime>,
+    granted_at: Vec<MonotonicTime>,
 }
 
 impl Candidacy {
@@ -38,7 +38,7 @@
             next_request_at: now,
             rounds: Vec::new(),
             next_round: first_round,
-            confirmed: vec![MonotonicTime::MIN; voters],
+            granted_at: vec![MonotonicTime::MIN; voters],
         }
     }
 
@@ -59,18 +59,18 @@
     /// A voter granted the request of a round. One that is not remembered counts for nothing.
     pub(super) fn confirm(&mut self, voter: usize, round: u32) {
         let sent = self.rounds.iter().find(|known| known.number == round);
-        if let (Some(sent), Some(confirmed)) = (sent, self.confirmed.get_mut(voter)) {
-            *confirmed = (*confirmed).max(sent.sent_at);
+        if let (Some(sent), Some(granted_at)) = (sent, self.granted_at.get_mut(voter)) {
+            *granted_at = (*granted_at).max(sent.sent_at);
         }
     }
 
     /// Until when the lease holds: a lease's time after the latest request that a majority has granted, or one sent
     /// later. [`MonotonicTime::MIN`] without a majority.
     pub(super) fn lease_until(&self, lease: Duration) -> MonotonicTime {
-        let mut confirmed = self.confirmed.clone();
-        confirmed.sort_unstable_by(|a, b| b.cmp(a));
-        let majority = confirmed.len() / 2 + 1;
-        match confirmed.get(majority - 1) {
+        let mut granted_at = self.granted_at.clone();
+        granted_at.sort_unstable_by(|a, b| b.cmp(a));
+        let majority = granted_at.len() / 2 + 1;
+        match granted_at.get(majority - 1) {
             Some(&sent_at) if sent_at > MonotonicTime::MIN => sent_at + lease,
             _ => MonotonicTime::MIN,
         }
--- a/crates/cluster/src/tiers/detection.rs
+++ b/crates/cluster/src/tiers/detection.rs
@@ -64,11 +64,11 @@
         let mut detected = Vec::new();
         self.detector.handle(now, input, &mut detected);
         for output in detected {
-            self.carry_out(output, outputs);
+            self.apply_output(output, outputs);
         }
     }
 
-    fn carry_out(&mut self, output: DetectorOutput, outputs: &mut Vec<Output>) {
+    fn apply_output(&mut self, output: DetectorOutput, outputs: &mut Vec<Output>) {
         match output {
             DetectorOutput::Send { to, kind, body } => {
                 if let Some(to) = self.member_at(to) {
--- a/crates/cluster/src/tiers/numbers.rs
+++ b/crates/cluster/src/tiers/numbers.rs
@@ -100,12 +100,13 @@
         for listed in Tier::ALL {
             let Some(table) = self.tables[listed.index()].take_due(now) else { continue };
             let group = self.own_groups[author_tier(listed).index()];
-            let offices = Tier::ALL.into_iter().filter(|office| *office <= author_tier(listed));
-            for office in offices.collect::<Vec<_>>() {
-                if self.represents(now, office).is_none() {
+            let represented_tiers =
+                Tier::ALL.into_iter().filter(|represented| *represented <= author_tier(listed));
+            for represented in represented_tiers.collect::<Vec<_>>() {
+                if self.represents(now, represented).is_none() {
                     break;
                 }
-                for recipient in self.recipients_below(now, office) {
+                for recipient in self.recipients_below(now, represented) {
                     self.send_message(recipient, listed, group, Content::Table(table.clone()), outputs);
                 }
             }
--- a/crates/cluster/src/tiers/offices.rs
+++ b/crates/cluster/src/tiers/offices.rs
@@ -54,8 +54,8 @@
 
     /// Takes over the tables that earlier representatives of the group published.
     fn adopt_tables(&mut self, tier: Tier) {
-        let published = Tier::ALL.into_iter().filter(|listed| author_tier(*listed) == tier);
-        for listed in published {
+        let published_tiers = Tier::ALL.into_iter().filter(|listed| author_tier(*listed) == tier);
+        for listed in published_tiers {
             if let Some((table, updated_at)) = self.tables[listed.index()].latest() {
                 self.reports[listed.index()].adopt(table, updated_at);
             }
@@ -74,11 +74,11 @@
     fn rank(&self, now: MonotonicTime, tier: Tier) -> Option<usize> {
         match tier.below() {
             None => {
-                let may_stand = !self.is_isolated && !self.is_leaving;
+                let may_be_candidate = !self.is_isolated && !self.is_leaving;
                 let members = self.site_members();
                 let own = members.iter().position(|member| *member == self.own_member)?;
                 let is_before = |index: &u16| usize::from(*index) < own;
-                may_stand.then(|| self.detector.alive_others().filter(is_before).count())
+                may_be_candidate.then(|| self.detector.alive_others().filter(is_before).count())
             }
             Some(below) => self.represents(now, below).map(|_term| self.own_places[below.index()]),
         }
--- a/crates/cluster/src/tiers/tables.rs
+++ b/crates/cluster/src/tiers/tables.rs
@@ -64,8 +64,8 @@
     pub(super) fn publish(&mut self, now: MonotonicTime, author: u16, term: u32, counts: Vec<Count>) {
         let is_same_term = (self.table.author, self.table.version.term) == (author, term);
         let is_changed = !is_same_term || self.table.counts != counts;
-        let is_due = self.updated_at.is_none_or(|at| now >= at + REFRESH_INTERVAL);
-        if !is_changed && !is_due {
+        let needs_refresh = self.updated_at.is_none_or(|at| now >= at + REFRESH_INTERVAL);
+        if !is_changed && !needs_refresh {
             return;
         }
         let sequence = if is_same_term { self.table.version.sequence.wrapping_add(1) } else { 1 };
@@ -76,11 +76,11 @@
     /// that is known if the table is of an earlier one, or of another author in the same: its author's voters have
     /// forgotten.
     pub(super) fn receive(&mut self, now: MonotonicTime, table: Table) -> Option<u32> {
-        let (known, received) = (self.table.version.term, table.version.term);
+        let (known_term, received_term) = (self.table.version.term, table.version.term);
         let is_fresh = self.is_fresh(now);
-        let is_from_other_author = received == known && table.author != self.table.author;
-        if is_fresh && (received < known || is_from_other_author) {
-            return Some(known);
+        let is_from_other_author = received_term == known_term && table.author != self.table.author;
+        if is_fresh && (received_term < known_term || is_from_other_author) {
+            return Some(known_term);
         }
         let is_usable = table.counts.len() == self.sizes.len();
         if is_usable && (table.version > self.table.version || !is_fresh) {
--- a/crates/cluster/src/tiers/topology.rs
+++ b/crates/cluster/src/tiers/topology.rs
@@ -221,8 +221,8 @@
     }
 
     fn find_or_add(&mut self, tier: Tier, name: &str, parent: u16) -> u16 {
-        if let Some(known) = self.find(tier, name) {
-            return known;
+        if let Some(existing) = self.find(tier, name) {
+            return existing;
         }
         let groups = &mut self.groups[tier.index()];
         let added = groups.len() as u16;
--- a/crates/cluster/src/wire/gossip.rs
+++ b/crates/cluster/src/wire/gossip.rs
@@ -72,7 +72,7 @@
     /// Claims about single members: suspected ones, and those that the receiver asked for.
     pub claims: Vec<MemberClaim>,
     /// The member to which the first heartbeat of `window` belongs.
-    pub first: u16,
+    pub window_start: u16,
     /// Heartbeats of consecutive members.
     pub window: Vec<Heartbeat>,
 }
@@ -153,7 +153,7 @@
         let isolated = if self.isolated { ISOLATED_FLAG } else { 0 };
         bytes.push(paused | isolated);
         bytes.push(claims.len() as u8);
-        bytes.extend_from_slice(&self.first.to_be_bytes());
+        bytes.extend_from_slice(&self.window_start.to_be_bytes());
         for claim in claims {
             claim.encode(&mut bytes);
         }
@@ -176,7 +176,7 @@
             paused: header[4] & PAUSED_FLAG != 0,
             isolated: header[4] & ISOLATED_FLAG != 0,
             claims: claims.chunks_exact(CLAIM_BYTES).map(MemberClaim::decode).collect(),
-            first: u16::from_be_bytes([header[6], header[7]]),
+            window_start: u16::from_be_bytes([header[6], header[7]]),
             window: window.chunks_exact(HEARTBEAT_BYTES).map(Heartbeat::decode).collect(),
         })
     }
--- a/crates/cluster/src/wire/tests.rs
+++ b/crates/cluster/src/wire/tests.rs
@@ -36,7 +36,7 @@
         paused: true,
         isolated: false,
         claims: (0..9).map(claim).collect(),
-        first: 900,
+        window_start: 900,
         window: (0..300).map(heartbeat).collect(),
     };
     let bytes = gossip.encode();
--- a/crates/cluster/tests/histories.rs
+++ b/crates/cluster/tests/histories.rs
@@ -78,7 +78,7 @@
                         state: claimed_state(*state),
                     });
                     let own = heartbeat(all.len() as u16, (now.as_micros() / 200_000) as u16 & 0x3fff, false);
-                    let gossip = Gossip { own, paused, isolated: false, claims: claims.collect(), first: 0, window: vec![] };
+                    let gossip = Gossip { own, paused, isolated: false, claims: claims.collect(), window_start: 0, window: vec![] };
                     let kind = if ping { MessageKind::Ping } else { MessageKind::Ack };
                     let sealed = encode(kind, by, &gossip.encode());
                     let opened = decode(&sealed).expect("an envelope");
--- a/crates/cluster/tests/verdicts.rs
+++ b/crates/cluster/tests/verdicts.rs
@@ -66,7 +66,8 @@
     };
     for first in (0..MEMBERS).step_by(capacity) {
         let window = (first..(first + capacity).min(MEMBERS)).map(heartbeat).collect();
-        let gossip = Gossip { own: heartbeat_at(now), first: first as u16, window, ..Gossip::default() };
+        let gossip =
+            Gossip { own: heartbeat_at(now), window_start: first as u16, window, ..Gossip::default() };
         receive_ack(observer, now, REFRESHER, &gossip, out);
     }
 }
--- a/crates/load-sharing/src/load_sharing.rs
+++ b/crates/load-sharing/src/load_sharing.rs
@@ -104,7 +104,7 @@
     /// Merges a summary of the same zone and list of stores; any other datagram is rejected.
     fn receive(&mut self, now: MonotonicTime, body: &[u8]) {
         match LoadSummary::decode(body) {
-            Some(summary) if self.concerns_own_stores(&summary) => {
+            Some(summary) if self.matches_own_stores(&summary) => {
                 self.datagrams.received += 1;
                 self.estimates.merge(now, usize::from(summary.first_index), summary.entries);
             }
@@ -112,7 +112,7 @@
         }
     }
 
-    fn concerns_own_stores(&self, summary: &LoadSummary) -> bool {
+    fn matches_own_stores(&self, summary: &LoadSummary) -> bool {
         summary.zone == self.zone && summary.list_digest == self.estimates.list_digest()
     }
 
