--- a/crates/distribution/examples/relay_cost.rs
+++ b/crates/distribution/examples/relay_cost.rs
@@ -62,7 +62,7 @@
             relay.handle(now, Input::Heartbeat { source_alive_at }, &mut out);
         }
         for output in out.drain(..) {
-            if output == Output::Ready {
+            if output == Output::BatchSealed {
                 chunks += (1..=subscribers).filter(|id| relay.next_chunk(now, *id).is_some()).count() as u64;
             }
         }
--- a/crates/distribution/src/configuration.rs
+++ b/crates/distribution/src/configuration.rs
@@ -19,13 +19,13 @@
 pub use gateway::{Candidate, DocumentChange, GatewayDocuments, Rejection};
 pub use identity::{DocumentId, DocumentKind, DocumentVersion};
 pub use observation::Observation;
-pub use rejection_totals::{RejectionTotals, ReportedRejections, MAX_REJECTIONS_HELD};
+pub use rejection_totals::{RejectionTotals, ReportedRejections, MAX_STORED_REJECTIONS};
 pub use rejections::{
     RejectedVersion, MAX_GATEWAY_NAME_BYTES, MAX_REASON_BYTES, MAX_REJECTING_GATEWAYS, MAX_REJECTIONS,
 };
 pub use rollout::{HaltReason, Rollout, RolloutInput, RolloutOutput, RolloutState};
 pub use rollout_plan::{PlanError, RolloutPlan, RolloutStage, MAX_STAGES};
-pub use table::{DocumentTable, HeldDocument, TableChange, MAX_DOCUMENTS, MAX_DOCUMENT_BYTES};
+pub use table::{DocumentTable, StoredDocument, TableChange, MAX_DOCUMENTS, MAX_DOCUMENT_BYTES};
 pub use targets::{Targets, MAX_ZONES};
 
 /// Bytes of a document's name at most.
--- a/crates/distribution/src/configuration/document.rs
+++ b/crates/distribution/src/configuration/document.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether it puts the same in force as another: the same content under the same version, whatever the stage.
-    pub fn has_content_of(&self, other: &Document) -> bool {
+    pub fn same_content_as(&self, other: &Document) -> bool {
         self.version.version == other.version.version && self.content == other.content
     }
 
--- a/crates/distribution/src/configuration/error.rs
+++ b/crates/distribution/src/configuration/error.rs
@@ -39,7 +39,7 @@
     Malformed(#[source] serde_json::Error),
     /// A list of changes has too many.
     #[error("documents.entries: {0}, at most {MAX_ENTRIES}")]
-    TooMany(usize),
+    TooManyEntries(usize),
     /// A document cannot be used.
     #[error("documents.entries[{index}] ({id}).{error}")]
     Document {
--- a/crates/distribution/src/configuration/event.rs
+++ b/crates/distribution/src/configuration/event.rs
@@ -17,12 +17,12 @@
     /// The document.
     pub document: Document,
     /// In a full list: the event that brought it, if that is known.
-    pub brought_by: Option<EventNumber>,
+    pub introduced_by: Option<EventNumber>,
 }
 
 impl From<Document> for DocumentEntry {
     fn from(document: Document) -> DocumentEntry {
-        DocumentEntry { document, brought_by: None }
+        DocumentEntry { document, introduced_by: None }
     }
 }
 
@@ -91,7 +91,7 @@
             content: (content != WITHDRAWN).then(|| content.into()),
             targets: self.targets,
         };
-        DocumentEntry { document, brought_by: self.event }
+        DocumentEntry { document, introduced_by: self.event }
     }
 }
 
@@ -111,7 +111,7 @@
         let form: EventForm<'_> = serde_json::from_str(data).map_err(DocumentsError::Malformed)?;
         let Some(form) = form.documents else { return Ok(None) };
         if form.entries.len() > MAX_ENTRIES {
-            return Err(DocumentsError::TooMany(form.entries.len()));
+            return Err(DocumentsError::TooManyEntries(form.entries.len()));
         }
         let documents = form.entries.into_iter().map(EntryForm::into_entry).collect();
         let event = DocumentsEvent { kind: ListKind::from_wire(form.is_full), documents };
@@ -163,6 +163,6 @@
         stage: version.stage,
         content: serde_json::from_str(content.as_deref().unwrap_or(WITHDRAWN)).ok()?,
         targets: targets.clone(),
-        event: entry.brought_by,
+        event: entry.introduced_by,
     })
 }
--- a/crates/distribution/src/configuration/gateway.rs
+++ b/crates/distribution/src/configuration/gateway.rs
@@ -1,6 +1,6 @@
 //! The documents of one gateway: what events have brought, what is in force, and what it cannot apply.
 use super::{
-    Document, DocumentId, DocumentTable, DocumentVersion, DocumentsEvent, HeldDocument, TableChange,
+    Document, DocumentId, DocumentTable, DocumentVersion, DocumentsEvent, StoredDocument, TableChange,
 };
 use crate::event_number::{EventNumber, ListKind};
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,7 +97,7 @@
         }
         let TableChange { changed, ignored } = self.table.apply(number, event);
         changed.iter().for_each(|id| self.mark_changed(id));
-        ignored.into_iter().for_each(|held| self.record_ignored(held));
+        ignored.into_iter().for_each(|stored| self.record_ignored(stored));
         self.candidate()
     }
 
@@ -201,14 +201,14 @@
         self.unsettled.extend(together.map(|(other, _)| other));
     }
 
-    fn record_ignored(&mut self, held: HeldDocument) {
-        if self.ignored.len() >= MAX_IGNORED && !self.ignored.contains_key(&held.document.id) {
+    fn record_ignored(&mut self, stored: StoredDocument) {
+        if self.ignored.len() >= MAX_IGNORED && !self.ignored.contains_key(&stored.document.id) {
             self.ignored_omitted = true;
             return;
         }
-        let Document { id, version, .. } = held.document;
+        let Document { id, version, .. } = stored.document;
         let reason = IGNORED_REASON.to_string();
-        self.ignored.insert(id.clone(), Rejection { id, version, reason, number: held.number });
+        self.ignored.insert(id.clone(), Rejection { id, version, reason, number: stored.number });
     }
 
     fn record_rejected(&mut self, change: &DocumentChange, reason: &str) {
@@ -221,13 +221,13 @@
 
     /// What is wanted of a document.
     fn wanted_change(&self, id: &DocumentId) -> DocumentChange {
-        let held = self.table.version_for(id, &self.name, &self.zone);
-        let document = held.map(|held| &held.document).filter(|document| document.content.is_some());
+        let stored = self.table.version_for(id, &self.name, &self.zone);
+        let document = stored.map(|stored| &stored.document).filter(|document| document.content.is_some());
         DocumentChange {
             id: id.clone(),
-            version: held.map(|held| held.document.version).unwrap_or_default(),
+            version: stored.map(|stored| stored.document.version).unwrap_or_default(),
             document: document.cloned(),
-            number: held.map_or(self.last, |held| held.number),
+            number: stored.map_or(self.last, |stored| stored.number),
         }
     }
 
@@ -238,7 +238,7 @@
             let change = self.wanted_change(&id);
             match (self.in_force.get_mut(&id), &change.document) {
                 (None, None) => {}
-                (Some(current), Some(wanted)) if current.has_content_of(wanted) => *current = wanted.clone(),
+                (Some(current), Some(wanted)) if current.same_content_as(wanted) => *current = wanted.clone(),
                 _ => {
                     self.unsettled.insert(id);
                     changes.push(change);
--- a/crates/distribution/src/configuration/observation.rs
+++ b/crates/distribution/src/configuration/observation.rs
@@ -24,8 +24,8 @@
     }
 
     /// Gateways known to reject a version.
-    pub fn rejecting(&self, id: &DocumentId, version: DocumentVersion) -> u64 {
-        let of_version = self.rejections.iter().filter(|rejected| rejected.is_of(id, version));
+    pub fn rejecting_gateways(&self, id: &DocumentId, version: DocumentVersion) -> u64 {
+        let of_version = self.rejections.iter().filter(|rejected| rejected.matches(id, version));
         of_version.map(|rejected| rejected.gateways).sum()
     }
 }
--- a/crates/distribution/src/configuration/rejection_totals.rs
+++ b/crates/distribution/src/configuration/rejection_totals.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Rejections of all reporters held at most; a reporter past it counts as one that has left its rejections out.
-pub const MAX_REJECTIONS_HELD: usize = 16_384;
+pub const MAX_STORED_REJECTIONS: usize = 16_384;
 
 /// A rejected version.
 type VersionKey = (DocumentId, DocumentVersion);
@@ -56,7 +56,7 @@
     by_gateways: BTreeSet<(Reverse<u64>, VersionKey)>,
     /// Reporters that reject anything.
     reporters: BTreeMap<R, Reporter>,
-    /// Rejections in `by_version`; at most [`MAX_REJECTIONS_HELD`], see there.
+    /// Rejections in `by_version`; at most [`MAX_STORED_REJECTIONS`], see there.
     held: usize,
     /// Reporters that have left rejections out.
     omitting: usize,
@@ -77,7 +77,7 @@
 impl<R: Ord + Copy> RejectionTotals<R> {
     /// Adds what a reporter without rejections so far has reported.
     pub fn insert(&mut self, reporter: R, mut report: ReportedRejections) {
-        if self.held + report.versions.len() > MAX_REJECTIONS_HELD {
+        if self.held + report.versions.len() > MAX_STORED_REJECTIONS {
             report = ReportedRejections { versions: Vec::new(), omitted: true };
         }
         if report == ReportedRejections::default() {
@@ -110,7 +110,7 @@
     }
 
     /// Whether no gateway is known to reject a version, and none may.
-    pub fn is_clear_of(&self, id: &DocumentId, version: DocumentVersion) -> bool {
+    pub fn has_no_rejection_of(&self, id: &DocumentId, version: DocumentVersion) -> bool {
         self.omitting == 0 && !self.by_version.contains_key(&(id.clone(), version))
     }
 
--- a/crates/distribution/src/configuration/rejections.rs
+++ b/crates/distribution/src/configuration/rejections.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether it concerns this version of this document.
-    pub fn is_of(&self, id: &DocumentId, version: DocumentVersion) -> bool {
+    pub fn matches(&self, id: &DocumentId, version: DocumentVersion) -> bool {
         self.id == *id && self.version == version
     }
 }
--- a/crates/distribution/src/configuration/rollout.rs
+++ b/crates/distribution/src/configuration/rollout.rs
@@ -9,7 +9,7 @@
     /// It is to begin.
     Start,
     /// A version of its document is held by the relays, under this number.
-    Seen {
+    VersionStored {
         /// Which version.
         version: DocumentVersion,
         /// The event that brought it.
@@ -146,7 +146,7 @@
     pub fn handle(&mut self, now: MonotonicTime, input: RolloutInput, out: &mut Vec<RolloutOutput>) {
         match input {
             RolloutInput::Start => self.start(now, out),
-            RolloutInput::Seen { version, number } => self.take_number(version, number),
+            RolloutInput::VersionStored { version, number } => self.take_number(version, number),
             RolloutInput::Observed(observation) => self.take_observation(now, &observation, out),
             RolloutInput::Halt if self.is_under_way() => self.halt(HaltReason::Operator, out),
             RolloutInput::RollBack => self.roll_back(out),
@@ -209,7 +209,9 @@
             },
             RolloutState::RollingBack { number: Some(number) } if observation.is_applied(number) => {
                 let version = self.plan.rollback().version;
-                if !observation.rejections_omitted && observation.rejecting(&self.plan.id, version) == 0 {
+                if !observation.rejections_omitted
+                    && observation.rejecting_gateways(&self.plan.id, version) == 0
+                {
                     self.state = RolloutState::RolledBack;
                     out.push(RolloutOutput::RolledBack);
                 }
--- a/crates/distribution/src/configuration/rollout_plan.rs
+++ b/crates/distribution/src/configuration/rollout_plan.rs
@@ -54,13 +54,13 @@
     Previous(#[source] DocumentError),
     /// A stage does not reach a gateway of the stage before.
     #[error("stages[{0}].targets: narrower than those of the stage before")]
-    Narrower(usize),
+    NarrowerTargets(usize),
     /// There are too many stages.
     #[error("stages: {0}, at most {MAX_STAGES}")]
     TooManyStages(usize),
     /// A stage ends before it can be applied.
     #[error("max_stage_time: 0, must be longer")]
-    NoStageTime,
+    ZeroStageTime,
 }
 
 impl RolloutPlan {
@@ -83,7 +83,7 @@
             return Err(PlanError::TooManyStages(self.stages.len()));
         }
         if self.max_stage_time.is_zero() {
-            return Err(PlanError::NoStageTime);
+            return Err(PlanError::ZeroStageTime);
         }
         for stage in 0..=self.stages.len() {
             self.document(stage).check().map_err(|error| PlanError::Document { stage, error })?;
@@ -91,7 +91,7 @@
         let pairs = self.stages.windows(2).enumerate();
         let narrower = pairs.map(|(index, pair)| (index + 1, !pair[1].targets.contains(&pair[0].targets)));
         if let Some((index, _)) = narrower.into_iter().find(|(_, is_narrower)| *is_narrower) {
-            return Err(PlanError::Narrower(index));
+            return Err(PlanError::NarrowerTargets(index));
         }
         self.rollback().check().map_err(PlanError::Previous)
     }
--- a/crates/distribution/src/configuration/table.rs
+++ b/crates/distribution/src/configuration/table.rs
@@ -14,7 +14,7 @@
 
 /// A version of a document, and the event that brought it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct HeldDocument {
+pub struct StoredDocument {
     /// The version.
     pub document: Document,
     /// The number of the event that brought it, or of a later full list that does not say which one did.
@@ -27,44 +27,44 @@
     /// Documents with another version than before, or none any more.
     pub changed: BTreeSet<DocumentId>,
     /// Versions that were ignored at a bound.
-    pub ignored: Vec<HeldDocument>,
+    pub ignored: Vec<StoredDocument>,
 }
 
 /// The versions of a document that are remembered.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Versions {
-    for_all: Option<HeldDocument>,
+    for_all: Option<StoredDocument>,
     /// Came after the one for all.
-    staged: Option<HeldDocument>,
+    staged: Option<StoredDocument>,
 }
 
 impl Versions {
-    fn iter(&self) -> impl Iterator<Item = &HeldDocument> {
+    fn iter(&self) -> impl Iterator<Item = &StoredDocument> {
         self.for_all.iter().chain(&self.staged)
     }
 
     fn bytes(&self) -> usize {
-        self.iter().map(|held| held.document.bytes()).sum()
+        self.iter().map(|stored| stored.document.bytes()).sum()
     }
 
     /// Takes in a version: one for all replaces both of before, a staged one the staged one of before.
-    fn take(&mut self, held: HeldDocument) {
-        let is_newer = |other: &HeldDocument| other.number > held.number;
+    fn take(&mut self, stored: StoredDocument) {
+        let is_newer = |other: &StoredDocument| other.number > stored.number;
         if self.for_all.as_ref().is_some_and(is_newer) {
             return;
         }
-        if held.document.is_staged() {
-            self.staged = self.staged.take().filter(is_newer).or(Some(held));
+        if stored.document.is_staged() {
+            self.staged = self.staged.take().filter(is_newer).or(Some(stored));
         } else {
-            let is_staged_after = |other: &HeldDocument| other.number >= held.number;
+            let is_staged_after = |other: &StoredDocument| other.number >= stored.number;
             self.staged = self.staged.take().filter(is_staged_after);
-            self.for_all = Some(held);
+            self.for_all = Some(stored);
         }
     }
 
     /// The event that withdrew the document, if there is nothing else of it.
     fn withdrawn_by(&self) -> Option<EventNumber> {
-        let withdrawn = self.for_all.as_ref().filter(|held| held.document.content.is_none())?;
+        let withdrawn = self.for_all.as_ref().filter(|stored| stored.document.content.is_none())?;
         self.staged.is_none().then_some(withdrawn.number)
     }
 }
@@ -92,9 +92,9 @@
         // A version for all replaces a staged one, so it goes first where an event has both.
         let (staged, for_all): (Vec<_>, Vec<_>) =
             event.documents.into_iter().partition(|entry| entry.document.is_staged());
-        for DocumentEntry { document, brought_by } in for_all.into_iter().chain(staged) {
-            let held = HeldDocument { document, number: brought_by.unwrap_or(number) };
-            self.insert(held, &mut change);
+        for DocumentEntry { document, introduced_by } in for_all.into_iter().chain(staged) {
+            let stored = StoredDocument { document, number: introduced_by.unwrap_or(number) };
+            self.insert(stored, &mut change);
         }
         change
     }
@@ -115,23 +115,23 @@
     }
 
     /// All versions remembered, by document; the one for all gateways before the staged one.
-    pub fn iter(&self) -> impl Iterator<Item = &HeldDocument> {
+    pub fn iter(&self) -> impl Iterator<Item = &StoredDocument> {
         self.documents.values().flat_map(Versions::iter)
     }
 
     /// The version of a document for all gateways.
-    pub fn for_all(&self, id: &DocumentId) -> Option<&HeldDocument> {
+    pub fn for_all(&self, id: &DocumentId) -> Option<&StoredDocument> {
         self.documents.get(id)?.for_all.as_ref()
     }
 
     /// The version of a document for some gateways.
-    pub fn staged(&self, id: &DocumentId) -> Option<&HeldDocument> {
+    pub fn staged(&self, id: &DocumentId) -> Option<&StoredDocument> {
         self.documents.get(id)?.staged.as_ref()
     }
 
     /// The version of a document that is for this gateway.
-    pub fn version_for(&self, id: &DocumentId, gateway: &str, zone: &str) -> Option<&HeldDocument> {
-        let staged = self.staged(id).filter(|held| held.document.includes(gateway, zone));
+    pub fn version_for(&self, id: &DocumentId, gateway: &str, zone: &str) -> Option<&StoredDocument> {
+        let staged = self.staged(id).filter(|stored| stored.document.includes(gateway, zone));
         staged.or_else(|| self.for_all(id))
     }
 
@@ -140,23 +140,23 @@
         if self.is_empty() {
             return None;
         }
-        let entry = |held: &HeldDocument| DocumentEntry {
-            document: held.document.clone(),
-            brought_by: Some(held.number),
+        let entry = |stored: &StoredDocument| DocumentEntry {
+            document: stored.document.clone(),
+            introduced_by: Some(stored.number),
         };
         Some(DocumentsEvent { kind: ListKind::Full, documents: self.iter().map(entry).collect() })
     }
 
-    fn insert(&mut self, held: HeldDocument, change: &mut TableChange) {
-        let id = held.document.id.clone();
+    fn insert(&mut self, stored: StoredDocument, change: &mut TableChange) {
+        let id = stored.document.id.clone();
         let before = self.documents.get(&id).cloned().unwrap_or_default();
         let mut versions = before.clone();
-        versions.take(held.clone());
+        versions.take(stored.clone());
         if versions == before {
             return;
         }
         if !self.make_room(&id, versions.bytes(), change) {
-            change.ignored.push(held);
+            change.ignored.push(stored);
             return;
         }
         self.remove(&id);
--- a/crates/distribution/src/event.rs
+++ b/crates/distribution/src/event.rs
@@ -38,7 +38,7 @@
 
 impl Subject {
     /// Whether it is a document, or all of them.
-    pub fn is_of_documents(&self) -> bool {
+    pub fn is_document(&self) -> bool {
         matches!(self, Subject::DocumentList | Subject::Document(_) | Subject::StagedDocument(_))
     }
 
@@ -150,13 +150,13 @@
 
 impl Event {
     /// Whether it carries stores: the full list or entries of it.
-    pub fn is_list(&self) -> bool {
+    pub fn has_stores(&self) -> bool {
         self.subjects.iter().any(|subject| matches!(subject, Subject::StoreList | Subject::Store(_)))
     }
 
     /// Whether it carries documents that can be read.
     pub fn has_documents(&self) -> bool {
-        self.subjects.iter().any(Subject::is_of_documents)
+        self.subjects.iter().any(Subject::is_document)
     }
 
     /// Reads the text of an event: `no` with `roster`, `recall`, `documents`, or what is not known here. Documents that
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -109,10 +109,10 @@
     }
 
     /// Whether the event of this number, in the log's range or the last before it, carried stores.
-    pub fn is_list(&self, number: EventNumber) -> bool {
+    pub fn has_stores(&self, number: EventNumber) -> bool {
         match self.slot(number) {
-            Some(slot) => slot.is_list(),
-            None => number == self.base.number && self.base.is_list,
+            Some(slot) => slot.has_stores(),
+            None => number == self.base.number && self.base.has_stores,
         }
     }
 
@@ -164,7 +164,7 @@
         let list = ListEvent::read(&event.data);
         if let Some(list) = list.filter(|list| list.kind == ListKind::Full) {
             let digest = BaseDigest::Snapshot(event.digest);
-            self.base = Base { number: event.number, digest, is_list: true };
+            self.base = Base { number: event.number, digest, has_stores: true };
             self.stores.apply(list);
             self.apply_documents(&event);
             return;
@@ -194,7 +194,7 @@
 
     /// Adds an event as the last one. Returns the earlier events looked at.
     fn push(&mut self, event: Event) -> usize {
-        if event.is_list() {
+        if event.has_stores() {
             self.apply_list(&event);
         }
         self.apply_documents(&event);
@@ -283,7 +283,7 @@
         let Some(slot) = self.slots.pop_front() else { return };
         self.bytes -= slot.bytes();
         let digest = slot.digest().map_or(BaseDigest::Unknown, BaseDigest::Event);
-        self.base = Base { number, digest, is_list: slot.is_list() };
+        self.base = Base { number, digest, has_stores: slot.has_stores() };
         if let Slot::Current(current) = slot {
             let subjects = &current.event.subjects;
             subjects.iter().for_each(|subject| self.subjects.remove(subject, number));
--- a/crates/distribution/src/log/slot.rs
+++ b/crates/distribution/src/log/slot.rs
@@ -19,7 +19,7 @@
         /// None if it was replaced already when it came.
         digest: Option<u64>,
         /// Whether it carried stores, whose text differs between scopes.
-        is_list: bool,
+        has_stores: bool,
     },
 }
 
@@ -35,7 +35,7 @@
     /// The slot of an event that has just come.
     pub(super) fn new(event: Event) -> Slot {
         if is_placeholder(&event) {
-            return Slot::Replaced { digest: None, is_list: false };
+            return Slot::Replaced { digest: None, has_stores: false };
         }
         let subject_count = event.subjects.iter().collect::<BTreeSet<_>>().len();
         Slot::Current(Box::new(CurrentEvent { event, subject_count }))
@@ -58,10 +58,10 @@
     }
 
     /// Whether the event carried stores.
-    pub(super) fn is_list(&self) -> bool {
+    pub(super) fn has_stores(&self) -> bool {
         match self {
-            Slot::Current(current) => current.event.is_list(),
-            Slot::Replaced { is_list, .. } => *is_list,
+            Slot::Current(current) => current.event.has_stores(),
+            Slot::Replaced { has_stores, .. } => *has_stores,
         }
     }
 
@@ -74,7 +74,7 @@
             return 0;
         }
         let freed = event_bytes(&current.event) - PLACEHOLDER_BYTES;
-        *self = Slot::Replaced { digest: self.digest(), is_list: self.is_list() };
+        *self = Slot::Replaced { digest: self.digest(), has_stores: self.has_stores() };
         freed
     }
 }
@@ -85,7 +85,7 @@
     pub number: EventNumber,
     pub digest: BaseDigest,
     /// Whether it carried stores.
-    pub is_list: bool,
+    pub has_stores: bool,
 }
 
 /// What is known of the data of the event before the log's range.
--- a/crates/distribution/src/positions.rs
+++ b/crates/distribution/src/positions.rs
@@ -191,7 +191,7 @@
         version: DocumentVersion,
     ) -> bool {
         let all_past = self.minimum().is_some_and(|applied| applied >= number);
-        all_past && self.rejections.is_clear_of(id, version)
+        all_past && self.rejections.has_no_rejection_of(id, version)
     }
 
     /// Since when the event is known to be applied by every gateway; none if it is not, or if the time was dropped.
--- a/crates/distribution/src/relay/admission.rs
+++ b/crates/distribution/src/relay/admission.rs
@@ -20,7 +20,7 @@
         out: &mut Vec<Output>,
     ) {
         if self.subscribers.len() >= self.settings.max_subscribers {
-            return self.reject(id, RejectReason::TooMany, out);
+            return self.reject(id, RejectReason::TooManySubscribers, out);
         }
         if self.names_unknown_scope(&request) {
             return self.reject(id, RejectReason::UnknownScope, out);
@@ -213,7 +213,7 @@
         let check = self.log.check_history(cursor, digest);
         let scope = self.scope_of(request);
         match scope {
-            Some(scope) if check == HistoryCheck::Other && self.log.is_list(cursor) => {
+            Some(scope) if check == HistoryCheck::Other && self.log.has_stores(cursor) => {
                 self.check_scoped(cursor, digest, self.encoder.scope(scope))
             }
             _ => check,
--- a/crates/distribution/src/relay/encoder.rs
+++ b/crates/distribution/src/relay/encoder.rs
@@ -25,20 +25,20 @@
     /// None for an event that a later one has replaced.
     pub data: Option<Arc<str>>,
     /// Whether it carries stores.
-    pub is_list: bool,
+    pub has_stores: bool,
 }
 
 impl OutgoingEvent {
     /// An event that no later one has replaced.
     pub(super) fn of_event(event: &Event) -> OutgoingEvent {
-        OutgoingEvent { number: event.number, data: Some(event.data.clone()), is_list: event.is_list() }
+        OutgoingEvent { number: event.number, data: Some(event.data.clone()), has_stores: event.has_stores() }
     }
 
     /// The event of this number in the log.
     pub(super) fn of_entry(number: EventNumber, entry: LogEntry<'_>) -> OutgoingEvent {
         match entry {
             LogEntry::Current(event) => OutgoingEvent::of_event(event),
-            LogEntry::Replaced => OutgoingEvent { number, data: None, is_list: false },
+            LogEntry::Replaced => OutgoingEvent { number, data: None, has_stores: false },
         }
     }
 
@@ -114,7 +114,7 @@
     fn data(&self, event: &OutgoingEvent, scope: Option<ScopeIndex>) -> Arc<str> {
         match (&event.data, scope) {
             (None, _) => placeholder(event.number).into(),
-            (Some(data), Some(scope)) if event.is_list => {
+            (Some(data), Some(scope)) if event.has_stores => {
                 self.scopes[scope].filter(event.number, data).into()
             }
             (Some(data), _) => data.clone(),
--- a/crates/distribution/src/relay/history_mismatch.rs
+++ b/crates/distribution/src/relay/history_mismatch.rs
@@ -14,7 +14,7 @@
     },
     /// What came after a gap is not after the log's last event.
     #[error("upstream went back from event {last} to {received}")]
-    WentBack {
+    NumberDecreased {
         /// The log's last event.
         last: EventNumber,
         /// The event that came.
--- a/crates/distribution/src/relay/messages.rs
+++ b/crates/distribution/src/relay/messages.rs
@@ -77,7 +77,7 @@
     /// There is no such scope (404).
     UnknownScope,
     /// Too many subscribers (503).
-    TooMany,
+    TooManySubscribers,
 }
 
 impl RejectReason {
@@ -86,7 +86,10 @@
         match self {
             RejectReason::OtherHistory => 412,
             RejectReason::UnknownScope => 404,
-            RejectReason::Behind | RejectReason::NotReady | RejectReason::Busy | RejectReason::TooMany => 503,
+            RejectReason::Behind
+            | RejectReason::NotReady
+            | RejectReason::Busy
+            | RejectReason::TooManySubscribers => 503,
         }
     }
 }
@@ -130,7 +133,7 @@
         reason: DisconnectReason,
     },
     /// A batch was sealed: pull for all subscribers that had nothing to read.
-    Ready,
+    BatchSealed,
     /// Send upstream.
     Report(PositionReport),
     /// The relay serves nobody any more, for this reason, until upstream begins anew with a gap.
--- a/crates/distribution/src/relay/pages.rs
+++ b/crates/distribution/src/relay/pages.rs
@@ -98,7 +98,7 @@
         let first = (index * self.page_events + 1).max(log.first());
         let last = last.min((index + 1) * self.page_events);
         let events = log_events(log, first, last);
-        let audience = match events.iter().any(|event| event.is_list) {
+        let audience = match events.iter().any(|event| event.has_stores) {
             true => Audience::OneScope,
             false => Audience::AllScopes,
         };
--- a/crates/distribution/src/relay/ring.rs
+++ b/crates/distribution/src/relay/ring.rs
@@ -139,7 +139,7 @@
         self.sealed.push_back(Batch {
             before,
             last: self.last,
-            contains_list: open.events.iter().any(|event| event.is_list),
+            contains_list: open.events.iter().any(|event| event.has_stores),
             events: open.events,
             heartbeat: open.heartbeat,
             sealed_at: now,
--- a/crates/distribution/src/relay/upstream.rs
+++ b/crates/distribution/src/relay/upstream.rs
@@ -40,7 +40,7 @@
     pub(super) fn take_gap(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
         let last = self.log.last();
         if event.number <= last {
-            self.stop_serving(now, HistoryMismatch::WentBack { last, received: event.number }, out);
+            self.stop_serving(now, HistoryMismatch::NumberDecreased { last, received: event.number }, out);
         } else if event.number == last + 1 {
             self.disconnect_all(now, DisconnectReason::HiddenGap, out);
         }
@@ -87,13 +87,13 @@
     /// Seals the open batch, if there is anything in it.
     pub(super) fn seal(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         if self.ring.seal(now) == BatchState::Sealed {
-            out.push(Output::Ready);
+            out.push(Output::BatchSealed);
         }
     }
 
     fn add_to_batch(&mut self, now: MonotonicTime, event: OutgoingEvent, out: &mut Vec<Output>) {
         if self.ring.add(now, event) == BatchState::Sealed {
-            out.push(Output::Ready);
+            out.push(Output::BatchSealed);
         }
     }
 }
--- a/crates/distribution/tests/configuration.rs
+++ b/crates/distribution/tests/configuration.rs
@@ -40,7 +40,7 @@
     let largest = Targets { share: 0.1 + 0.2, zones: vec!["\"".to_string(); 9] };
     let document = document(&"\\".repeat(255), u64::MAX, Some("[1]"));
     let mut list = DocumentsEvent::changes([staged(document.clone(), u32::MAX, largest), document]);
-    list.documents.iter_mut().for_each(|entry| entry.brought_by = Some(MAX_EVENT_NUMBER));
+    list.documents.iter_mut().for_each(|entry| entry.introduced_by = Some(MAX_EVENT_NUMBER));
     let counted: usize = list.documents.iter().map(|entry| entry.document.bytes()).sum();
     let envelope = DocumentsEvent { documents: Vec::new(), ..list.clone() }.json().len();
     assert!(list.json().len() - envelope <= counted, "{} bytes, {counted} counted", list.json().len());
@@ -121,9 +121,9 @@
         let replaced: Vec<_> = (1..=number).filter(|number| is_replaced(&log, *number)).collect();
         assert_eq!(replaced, expected, "after {number}");
     }
-    let held: Vec<_> =
-        log.documents().iter().map(|held| (held.document.id.name.as_str(), held.number)).collect();
-    assert_eq!(held, [("a", 8), ("c", 7)]);
+    let stored: Vec<_> =
+        log.documents().iter().map(|stored| (stored.document.id.name.as_str(), stored.number)).collect();
+    assert_eq!(stored, [("a", 8), ("c", 7)]);
 }
 
 #[test]
@@ -216,7 +216,7 @@
         assert!(text.contains("s-00000000") && !text.contains("s-00000001"), "{text}");
     }
     let status = driver.relay.documents().next().expect("held");
-    assert_eq!((status.held.number, status.is_applied), (2, false), "no gateway has reported");
+    assert_eq!((status.stored.number, status.is_applied), (2, false), "no gateway has reported");
     let report = PositionReport::of_gateway("g", 2);
     driver.input(Input::Position { id: 1, report });
     assert!(driver.relay.documents().all(|status| status.is_applied));
--- a/crates/distribution/tests/rejections.rs
+++ b/crates/distribution/tests/rejections.rs
@@ -5,7 +5,7 @@
 use larchway::MonotonicTime;
 use larchway_distribution::configuration::{
     DocumentVersion, GatewayDocuments, RejectedVersion, Rejection, MAX_REASON_BYTES, MAX_REJECTING_GATEWAYS,
-    MAX_REJECTIONS, MAX_REJECTIONS_HELD,
+    MAX_REJECTIONS, MAX_STORED_REJECTIONS,
 };
 use larchway_distribution::positions::{PositionLimits, PositionReport, Positions};
 use larchway_distribution::EventNumber;
@@ -86,14 +86,14 @@
     let versions = (0..50).map(|number| RejectedVersion { version: version(number, 0), ..huge.clone() });
     let report = PositionReport { rejections: versions.collect(), ..report("g", 9, &[]) };
     let mut positions = Positions::new(LIMITS);
-    for reporter in 0..(MAX_REJECTIONS_HELD / MAX_REJECTIONS + 10) as u64 {
+    for reporter in 0..(MAX_STORED_REJECTIONS / MAX_REJECTIONS + 10) as u64 {
         positions.report(at(1), reporter, None, report.clone());
     }
     let aggregate = positions.aggregate();
     assert!(aggregate.rejections_omitted && aggregate.rejections.len() == MAX_REJECTIONS);
     for rejected in &aggregate.rejections {
         assert!(rejected.reason.len() <= MAX_REASON_BYTES && rejected.names.len() <= MAX_REJECTING_GATEWAYS);
-        assert_eq!(rejected.gateways, (MAX_REJECTIONS_HELD / MAX_REJECTIONS) as u64);
+        assert_eq!(rejected.gateways, (MAX_STORED_REJECTIONS / MAX_REJECTIONS) as u64);
     }
     (0..2000).for_each(|reporter| positions.disconnected(at(2), reporter));
     positions.expire(at(100));
--- a/crates/distribution/tests/relay.rs
+++ b/crates/distribution/tests/relay.rs
@@ -345,7 +345,7 @@
     let cases = [
         (conflicting, HistoryMismatch::EventDiffers { number: 5 }),
         (Input::OtherHistory(all_differ), all_differ),
-        (backwards.clone(), HistoryMismatch::WentBack { last: 9, received: 4 }),
+        (backwards.clone(), HistoryMismatch::NumberDecreased { last: 9, received: 4 }),
     ];
     for (input, mismatch) in cases {
         let mut driver = ready(settings(), 9);
@@ -411,7 +411,7 @@
     for id in 1..=2 {
         reader(&mut driver, id, request(9));
     }
-    assert_eq!(rejection(&driver.subscribe(3, request(9))), Some(RejectReason::TooMany));
+    assert_eq!(rejection(&driver.subscribe(3, request(9))), Some(RejectReason::TooManySubscribers));
     driver.input(Input::SubscriberDisconnected(1));
     assert_eq!(accepted(&driver.subscribe(4, request(9))), [4]);
 }
@@ -517,7 +517,7 @@
 fn a_full_batch_does_not_wait_for_its_time() {
     let mut driver = ready(RelaySettings { batch_bytes: 300, batch_interval: 100 * SECOND, ..settings() }, 1);
     let sealed =
-        (2..12).filter(|number| driver.input(Input::Event(purge(*number, 1))).contains(&Output::Ready));
+        (2..12).filter(|number| driver.input(Input::Event(purge(*number, 1))).contains(&Output::BatchSealed));
     assert_eq!(sealed.count(), 2);
 }
 
--- a/crates/distribution/tests/relay_histories.rs
+++ b/crates/distribution/tests/relay_histories.rs
@@ -206,7 +206,7 @@
                     self.client(relay, id).relay = None;
                 }
                 Output::StopServing(reason) => panic!("{reason}"),
-                Output::Ready | Output::Report(_) => {}
+                Output::BatchSealed | Output::Report(_) => {}
             }
         }
     }
--- a/crates/distribution/tests/rollout.rs
+++ b/crates/distribution/tests/rollout.rs
@@ -52,7 +52,7 @@
                 continue;
             };
             self.last += 1;
-            let seen = RolloutInput::Seen { version: document.version, number: self.last };
+            let seen = RolloutInput::VersionStored { version: document.version, number: self.last };
             self.rollout.handle(self.now, seen, &mut Vec::new());
         }
         out
--- a/crates/distribution/tests/rollout_model.rs
+++ b/crates/distribution/tests/rollout_model.rs
@@ -243,8 +243,11 @@
     /// What the relay says of all gateways, by the program's own positions.
     fn observe(&self, state: &mut State) {
         let known = self.known(state);
-        for held in known.log.documents().iter().filter(|held| held.document.id == id("a")) {
-            state.drive(RolloutInput::Seen { version: held.document.version, number: held.number });
+        for stored in known.log.documents().iter().filter(|stored| stored.document.id == id("a")) {
+            state.drive(RolloutInput::VersionStored {
+                version: stored.document.version,
+                number: stored.number,
+            });
         }
         let limits = PositionLimits { lost_retention: Duration::MAX, max_lost: 9, max_advances: 9 };
         let mut positions = Positions::new(limits);
--- a/gateway/src/relay/documents_status.rs
+++ b/gateway/src/relay/documents_status.rs
@@ -50,14 +50,15 @@
 
 impl HeldVersion {
     fn new(status: &DocumentStatus<'_>, rejections: &[RejectedVersion]) -> HeldVersion {
-        let document = &status.held.document;
-        let of_version = rejections.iter().filter(|rejected| rejected.is_of(&document.id, document.version));
+        let document = &status.stored.document;
+        let of_version =
+            rejections.iter().filter(|rejected| rejected.matches(&document.id, document.version));
         HeldVersion {
             id: document.id.clone(),
             version: document.version,
             targets: document.targets.clone(),
             withdrawn: document.content.is_none(),
-            event: status.held.number,
+            event: status.stored.number,
             applied: status.is_applied,
             rejections: of_version.cloned().collect(),
         }
--- a/gateway/src/relay/mod.rs
+++ b/gateway/src/relay/mod.rs
@@ -235,7 +235,7 @@
                 self.counters.count_disconnect(reason);
                 self.server.close(Key(id));
             }
-            Output::Ready => self.server.wake_streams(),
+            Output::BatchSealed => self.server.wake_streams(),
             Output::Report(report) => self.upstream.report(report),
             Output::StopServing(reason) => {
                 error!(%reason, "stopped serving");
--- a/gateway/src/relay/status.rs
+++ b/gateway/src/relay/status.rs
@@ -169,6 +169,6 @@
         RejectReason::NotReady => "not_ready",
         RejectReason::Busy => "busy",
         RejectReason::UnknownScope => "unknown_scope",
-        RejectReason::TooMany => "too_many",
+        RejectReason::TooManySubscribers => "too_many",
     }
 }
--- a/gateway/src/rollout/mod.rs
+++ b/gateway/src/rollout/mod.rs
@@ -104,7 +104,7 @@
     ) -> Result<Option<Outcome>, RolloutError> {
         let id = self.rollout.plan().id.clone();
         for held in status.documents.iter().filter(|held| held.id == id) {
-            let seen = RolloutInput::Seen { version: held.version, number: held.event };
+            let seen = RolloutInput::VersionStored { version: held.version, number: held.event };
             if let Some(outcome) = self.handle(now, seen)? {
                 return Ok(Some(outcome));
             }
