--- a/crates/distribution/src/configuration/gateway.rs
+++ b/crates/distribution/src/configuration/gateway.rs
@@ -69,7 +69,7 @@
     /// Whether versions were ignored that are not remembered, or documents could not be read.
     ignored_omitted: bool,
     /// The last event with documents.
-    last: EventNumber,
+    last_documents_event: EventNumber,
 }
 
 impl GatewayDocuments {
@@ -84,19 +84,19 @@
             rejected: BTreeMap::new(),
             ignored: BTreeMap::new(),
             ignored_omitted: false,
-            last: 0,
+            last_documents_event: 0,
         }
     }
 
     /// Takes in the documents of the next event. Returns what has to be tried, if anything.
     pub fn handle(&mut self, number: EventNumber, event: DocumentsEvent) -> Option<Candidate> {
-        self.last = number;
+        self.last_documents_event = number;
         if event.kind == ListKind::Full {
             self.ignored.clear();
             self.ignored_omitted = false;
         }
         let TableChange { changed, ignored } = self.table.apply(number, event);
-        changed.iter().for_each(|id| self.mark_changed(id));
+        changed.iter().for_each(|id| self.mark_unsettled(id));
         ignored.into_iter().for_each(|stored| self.record_ignored(stored));
         self.candidate()
     }
@@ -143,7 +143,8 @@
     ) -> Option<Candidate> {
         let at_fault = fault.and_then(|id| candidate.changes.iter().find(|change| change.id == *id));
         let number = at_fault.map(|change| change.number);
-        let rejected = candidate.changes.iter().filter(|change| number.is_none_or(|n| n == change.number));
+        let rejected =
+            candidate.changes.iter().filter(|change| number.is_none_or(|event| event == change.number));
         for change in rejected {
             if self.wanted_change(&change.id) == *change {
                 self.record_rejected(change, reason);
@@ -193,12 +194,12 @@
     }
 
     /// A document has another version. If the one before was rejected, what came with that is tried again.
-    fn mark_changed(&mut self, id: &DocumentId) {
+    fn mark_unsettled(&mut self, id: &DocumentId) {
         self.ignored.remove(id);
         self.unsettled.insert(id.clone());
         let Some(rejection) = self.rejected.remove(id) else { return };
-        let together = self.rejected.extract_if(.., |_, other| other.number == rejection.number);
-        self.unsettled.extend(together.map(|(other, _)| other));
+        let same_event = self.rejected.extract_if(.., |_, other| other.number == rejection.number);
+        self.unsettled.extend(same_event.map(|(other, _)| other));
     }
 
     fn record_ignored(&mut self, stored: StoredDocument) {
@@ -227,7 +228,7 @@
             id: id.clone(),
             version: stored.map(|stored| stored.document.version).unwrap_or_default(),
             document: document.cloned(),
-            number: stored.map_or(self.last, |stored| stored.number),
+            number: stored.map_or(self.last_documents_event, |stored| stored.number),
         }
     }
 
--- a/crates/distribution/src/configuration/rejection_totals.rs
+++ b/crates/distribution/src/configuration/rejection_totals.rs
@@ -28,7 +28,7 @@
         versions.retain(|version| version.id.name.len() <= MAX_DOCUMENT_NAME_BYTES);
         versions.truncate(MAX_REJECTIONS);
         let omitted = versions.len() < reported;
-        versions.iter_mut().for_each(|version| version.bound(gateways));
+        versions.iter_mut().for_each(|version| version.truncate_to_bounds(gateways));
         ReportedRejections { versions, omitted }
     }
 }
@@ -57,9 +57,9 @@
     /// Reporters that reject anything.
     reporters: BTreeMap<R, Reporter>,
     /// Rejections in `by_version`; at most [`MAX_STORED_REJECTIONS`], see there.
-    held: usize,
+    stored_count: usize,
     /// Reporters that have left rejections out.
-    omitting: usize,
+    omitting_count: usize,
 }
 
 impl<R> Default for RejectionTotals<R> {
@@ -68,8 +68,8 @@
             by_version: BTreeMap::new(),
             by_gateways: BTreeSet::new(),
             reporters: BTreeMap::new(),
-            held: 0,
-            omitting: 0,
+            stored_count: 0,
+            omitting_count: 0,
         }
     }
 }
@@ -77,7 +77,7 @@
 impl<R: Ord + Copy> RejectionTotals<R> {
     /// Adds what a reporter without rejections so far has reported.
     pub fn insert(&mut self, reporter: R, mut report: ReportedRejections) {
-        if self.held + report.versions.len() > MAX_STORED_REJECTIONS {
+        if self.stored_count + report.versions.len() > MAX_STORED_REJECTIONS {
             report = ReportedRejections { versions: Vec::new(), omitted: true };
         }
         if report == ReportedRejections::default() {
@@ -87,16 +87,16 @@
         for version in report.versions {
             versions.extend(self.add(reporter, version));
         }
-        self.held += versions.len();
-        self.omitting += usize::from(report.omitted);
+        self.stored_count += versions.len();
+        self.omitting_count += usize::from(report.omitted);
         self.reporters.insert(reporter, Reporter { versions, omitted: report.omitted });
     }
 
     /// Removes what a reporter has reported, and returns it.
     pub fn remove(&mut self, reporter: R) -> ReportedRejections {
         let Some(removed) = self.reporters.remove(&reporter) else { return ReportedRejections::default() };
-        self.held -= removed.versions.len();
-        self.omitting -= usize::from(removed.omitted);
+        self.stored_count -= removed.versions.len();
+        self.omitting_count -= usize::from(removed.omitted);
         let versions = removed.versions.into_iter();
         let versions = versions.filter_map(|key| self.subtract(reporter, key)).collect();
         ReportedRejections { versions, omitted: removed.omitted }
@@ -105,13 +105,16 @@
     /// The versions that the most gateways reject, at most [`MAX_REJECTIONS`].
     pub fn aggregate(&self) -> ReportedRejections {
         let keys = self.by_gateways.iter().take(MAX_REJECTIONS).map(|(_, key)| key);
-        let versions = keys.filter_map(|key| Some(combined(key, self.by_version.get(key)?))).collect();
-        ReportedRejections { versions, omitted: self.omitting > 0 || self.by_version.len() > MAX_REJECTIONS }
+        let versions = keys.filter_map(|key| Some(combine_reports(key, self.by_version.get(key)?))).collect();
+        ReportedRejections {
+            versions,
+            omitted: self.omitting_count > 0 || self.by_version.len() > MAX_REJECTIONS,
+        }
     }
 
     /// Whether no gateway is known to reject a version, and none may.
     pub fn has_no_rejection_of(&self, id: &DocumentId, version: DocumentVersion) -> bool {
-        self.omitting == 0 && !self.by_version.contains_key(&(id.clone(), version))
+        self.omitting_count == 0 && !self.by_version.contains_key(&(id.clone(), version))
     }
 
     /// Adds one rejection; none if the reporter names the version twice.
@@ -144,7 +147,7 @@
 }
 
 /// What all reporters say of a version together. No more of them are looked at than gateways are named.
-fn combined<R>((id, version): &VersionKey, totals: &VersionTotals<R>) -> RejectedVersion {
+fn combine_reports<R>((id, version): &VersionKey, totals: &VersionTotals<R>) -> RejectedVersion {
     let reports = || totals.reports.values().take(MAX_REJECTING_GATEWAYS);
     let mut names: Vec<String> = reports().flat_map(|report| report.names.iter().cloned()).collect();
     names.sort();
--- a/crates/distribution/src/configuration/rejections.rs
+++ b/crates/distribution/src/configuration/rejections.rs
@@ -45,7 +45,7 @@
     }
 
     /// Cuts what is past a bound.
-    pub(super) fn bound(&mut self, gateways: u64) {
+    pub(super) fn truncate_to_bounds(&mut self, gateways: u64) {
         self.gateways = self.gateways.min(gateways);
         self.reason.truncate(self.reason.floor_char_boundary(MAX_REASON_BYTES));
         self.names.truncate(MAX_REJECTING_GATEWAYS);
--- a/crates/distribution/src/configuration/rollout.rs
+++ b/crates/distribution/src/configuration/rollout.rs
@@ -146,13 +146,13 @@
     pub fn handle(&mut self, now: MonotonicTime, input: RolloutInput, out: &mut Vec<RolloutOutput>) {
         match input {
             RolloutInput::Start => self.start(now, out),
-            RolloutInput::VersionStored { version, number } => self.take_number(version, number),
-            RolloutInput::Observed(observation) => self.take_observation(now, &observation, out),
+            RolloutInput::VersionStored { version, number } => self.record_event_number(version, number),
+            RolloutInput::Observed(observation) => self.handle_observation(now, &observation, out),
             RolloutInput::Halt if self.is_under_way() => self.halt(HaltReason::Operator, out),
             RolloutInput::RollBack => self.roll_back(out),
             RolloutInput::Halt | RolloutInput::Tick => {}
         }
-        self.check_stage_time(now, out);
+        self.halt_if_overdue(now, out);
     }
 
     /// When [`RolloutInput::Tick`] is wanted, if ever.
@@ -180,33 +180,35 @@
     }
 
     /// The relays hold a version of the document.
-    fn take_number(&mut self, seen: DocumentVersion, seen_number: EventNumber) {
+    fn record_event_number(&mut self, stored: DocumentVersion, stored_number: EventNumber) {
         let rollback = self.plan.rollback().version;
         let version = self.plan.version;
         match &mut self.state {
             RolloutState::Applying { stage, number, .. }
-                if seen == (DocumentVersion { version, stage: *stage as u32 }) =>
+                if stored == (DocumentVersion { version, stage: *stage as u32 }) =>
             {
-                number.get_or_insert(seen_number);
+                number.get_or_insert(stored_number);
             }
-            RolloutState::RollingBack { number } if seen == rollback => {
-                number.get_or_insert(seen_number);
+            RolloutState::RollingBack { number } if stored == rollback => {
+                number.get_or_insert(stored_number);
             }
             _ => {}
         }
     }
 
-    fn take_observation(
+    fn handle_observation(
         &mut self,
         now: MonotonicTime,
         observation: &Observation,
         out: &mut Vec<RolloutOutput>,
     ) {
         match self.state {
-            RolloutState::Applying { .. } | RolloutState::Soaking { .. } => match self.fault(observation) {
-                Some(reason) => self.halt(reason, out),
-                None => self.judge_stage(now, observation, out),
-            },
+            RolloutState::Applying { .. } | RolloutState::Soaking { .. } => {
+                match self.halt_reason(observation) {
+                    Some(reason) => self.halt(reason, out),
+                    None => self.update_stage(now, observation, out),
+                }
+            }
             RolloutState::RollingBack { number: Some(number) } if observation.is_applied(number) => {
                 let version = self.plan.rollback().version;
                 if !observation.rejections_omitted
@@ -221,7 +223,7 @@
     }
 
     /// Why the rollout must go no further, if it must not.
-    fn fault(&self, observation: &Observation) -> Option<HaltReason> {
+    fn halt_reason(&self, observation: &Observation) -> Option<HaltReason> {
         let is_of_plan = |rejected: &&RejectedVersion| {
             rejected.id == self.plan.id && rejected.version.version == self.plan.version
         };
@@ -234,7 +236,7 @@
     }
 
     /// Goes on to the next stage if this one is applied by all that it targets, and has been for long enough.
-    fn judge_stage(&mut self, now: MonotonicTime, observation: &Observation, out: &mut Vec<RolloutOutput>) {
+    fn update_stage(&mut self, now: MonotonicTime, observation: &Observation, out: &mut Vec<RolloutOutput>) {
         match self.state {
             RolloutState::Applying { stage, since, number: Some(number) }
                 if observation.is_applied(number) =>
@@ -280,7 +282,7 @@
         }
     }
 
-    fn check_stage_time(&mut self, now: MonotonicTime, out: &mut Vec<RolloutOutput>) {
+    fn halt_if_overdue(&mut self, now: MonotonicTime, out: &mut Vec<RolloutOutput>) {
         let RolloutState::Applying { stage, since, .. } = self.state else { return };
         if since + self.plan.max_stage_time <= now {
             self.halt(HaltReason::StageOverdue { stage }, out);
--- a/crates/distribution/src/configuration/table.rs
+++ b/crates/distribution/src/configuration/table.rs
@@ -48,7 +48,7 @@
     }
 
     /// Takes in a version: one for all replaces both of before, a staged one the staged one of before.
-    fn take(&mut self, stored: StoredDocument) {
+    fn update(&mut self, stored: StoredDocument) {
         let is_newer = |other: &StoredDocument| other.number > stored.number;
         if self.for_all.as_ref().is_some_and(is_newer) {
             return;
@@ -151,11 +151,11 @@
         let id = stored.document.id.clone();
         let before = self.documents.get(&id).cloned().unwrap_or_default();
         let mut versions = before.clone();
-        versions.take(stored.clone());
+        versions.update(stored.clone());
         if versions == before {
             return;
         }
-        if !self.make_room(&id, versions.bytes(), change) {
+        if !self.free_capacity(&id, versions.bytes(), change) {
             change.ignored.push(stored);
             return;
         }
@@ -169,11 +169,11 @@
     }
 
     /// Forgets withdrawn documents until this one has room; returns whether it has.
-    fn make_room(&mut self, id: &DocumentId, bytes: usize, change: &mut TableChange) -> bool {
+    fn free_capacity(&mut self, id: &DocumentId, bytes: usize, change: &mut TableChange) -> bool {
         loop {
-            let known = self.documents.get(id);
-            let others = self.documents.len() - usize::from(known.is_some());
-            let other_bytes = self.bytes - known.map_or(0, Versions::bytes);
+            let existing = self.documents.get(id);
+            let others = self.documents.len() - usize::from(existing.is_some());
+            let other_bytes = self.bytes - existing.map_or(0, Versions::bytes);
             if others < MAX_DOCUMENTS && other_bytes + bytes <= MAX_DOCUMENT_BYTES {
                 return true;
             }
--- a/crates/distribution/src/configuration/targets.rs
+++ b/crates/distribution/src/configuration/targets.rs
@@ -42,7 +42,7 @@
     /// Whether this gateway is included. The share is drawn by document and version, so that changes do not all meet
     /// the same gateways first, and a wider share of a version includes a narrower one.
     pub fn includes(&self, gateway: &str, zone: &str, id: &DocumentId, version: u64) -> bool {
-        self.zones.iter().any(|name| name == zone) || draw(gateway, id, version) < self.share
+        self.zones.iter().any(|name| name == zone) || rollout_fraction(gateway, id, version) < self.share
     }
 
     /// Whether every gateway that `narrower` includes is included here as well.
@@ -69,7 +69,7 @@
 }
 
 /// The place of a gateway from 0 to 1, the same on every machine.
-fn draw(gateway: &str, id: &DocumentId, version: u64) -> f64 {
+fn rollout_fraction(gateway: &str, id: &DocumentId, version: u64) -> f64 {
     let mut hash = Xxh3::new();
     for part in [gateway, id.kind.name(), &id.name] {
         hash.update(part.as_bytes());
--- a/crates/distribution/src/event.rs
+++ b/crates/distribution/src/event.rs
@@ -87,7 +87,7 @@
 }
 
 #[derive(Deserialize)]
-struct Form {
+struct EventForm {
     #[serde(rename = "no")]
     number: EventNumber,
     #[serde(rename = "roster")]
@@ -166,7 +166,7 @@
     ///
     /// Fails if the text is not JSON of this form, or holds a number or name that is not valid.
     pub fn read(data: &str) -> Result<Event, EventError> {
-        let form: Form = serde_json::from_str(data).map_err(EventError::Malformed)?;
+        let form: EventForm = serde_json::from_str(data).map_err(EventError::Malformed)?;
         let number = form.number;
         if number > MAX_EVENT_NUMBER {
             return Err(EventError::NumberTooLarge(number));
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -127,11 +127,11 @@
     /// Compares a subscriber's digest of an event with the log's.
     pub fn check_history(&self, number: EventNumber, digest: u64) -> HistoryCheck {
         match (self.base.digest, self.digest(number)) {
-            (BaseDigest::Snapshot(known), _) if number == self.base.number && known == digest => {
+            (BaseDigest::Snapshot(stored), _) if number == self.base.number && stored == digest => {
                 HistoryCheck::Same
             }
             (_, None) => HistoryCheck::Unknown,
-            (_, Some(known)) if known == digest => HistoryCheck::Same,
+            (_, Some(stored)) if stored == digest => HistoryCheck::Same,
             (_, Some(_)) => HistoryCheck::Other,
         }
     }
--- a/crates/distribution/src/positions.rs
+++ b/crates/distribution/src/positions.rs
@@ -30,16 +30,16 @@
 }
 
 #[derive(Debug)]
-struct Entry {
+struct ReporterEntry {
     name: Option<String>,
     report: PositionReport,
 }
 
-impl Entry {
+impl ReporterEntry {
     /// Whether it is a gateway's own report, not that of a relay.
     fn is_gateway(&self) -> bool {
-        let itself = self.report.furthest.first().map(|straggler| straggler.name.as_str());
-        self.report.gateways == 1 && itself == self.name.as_deref()
+        let own_name = self.report.furthest.first().map(|straggler| straggler.name.as_str());
+        self.report.gateways == 1 && own_name == self.name.as_deref()
     }
 }
 
@@ -63,7 +63,7 @@
 pub struct Positions {
     limits: PositionLimits,
     /// At most one a subscriber connected, and `PositionLimits::max_lost` others.
-    entries: BTreeMap<ReporterKey, Entry>,
+    entries: BTreeMap<ReporterKey, ReporterEntry>,
     /// All entries that count gateways, by their minimum.
     by_applied: BTreeSet<(EventNumber, ReporterKey)>,
     /// Those that are gone, in order of loss; at most `PositionLimits::max_lost`.
@@ -117,9 +117,9 @@
         let returned = name.and_then(|name| self.lost_by_name.remove(name));
         let key = ReporterKey::Connected(subscriber);
         self.remove(key);
-        self.insert(key, Entry { name: name.map(str::to_string), report });
-        if let Some(order) = returned {
-            self.on_return(order);
+        self.insert(key, ReporterEntry { name: name.map(str::to_string), report });
+        if let Some(loss_index) = returned {
+            self.on_return(loss_index);
         }
         self.drop_returned();
         self.expire(now);
@@ -134,26 +134,26 @@
             return;
         }
         entry.report.lost = entry.report.gateways;
-        let order = self.next_lost;
+        let loss_index = self.next_lost;
         self.next_lost += 1;
         if let Some(name) = &entry.name {
-            if let Some(earlier) = self.lost_by_name.insert(name.clone(), order) {
+            if let Some(earlier) = self.lost_by_name.insert(name.clone(), loss_index) {
                 self.on_return(earlier);
             }
         }
-        self.lost.insert(order, LostSubscriber { lost_at: now, gateways_before });
-        self.insert(ReporterKey::Lost(order), entry);
+        self.lost.insert(loss_index, LostSubscriber { lost_at: now, gateways_before });
+        self.insert(ReporterKey::Lost(loss_index), entry);
         self.expire(now);
     }
 
     /// Drops those that have been lost for long enough, or are too many.
     pub fn expire(&mut self, now: MonotonicTime) {
-        while let Some((&order, &LostSubscriber { lost_at, .. })) = self.lost.first_key_value() {
+        while let Some((&loss_index, &LostSubscriber { lost_at, .. })) = self.lost.first_key_value() {
             let expired = lost_at + self.limits.lost_retention <= now;
             if !expired && self.lost.len() <= self.limits.max_lost {
                 break;
             }
-            self.expire_lost(order);
+            self.expire_lost(loss_index);
         }
         self.record_advance(now);
     }
@@ -223,8 +223,8 @@
         while self.advances.back().is_some_and(|advance| advance.applied > applied) {
             self.advances.pop_back();
         }
-        let known = self.advances.back().map_or(self.evicted_up_to, |advance| advance.applied);
-        if applied <= known {
+        let last_advance = self.advances.back().map_or(self.evicted_up_to, |advance| advance.applied);
+        if applied <= last_advance {
             return;
         }
         self.advances.push_back(Advance { applied, reached_at: now });
@@ -242,39 +242,39 @@
 
     /// A lost subscriber has returned. Danger: the gateways of a relay may have turned elsewhere, and one that has not
     /// reported there yet would be counted nowhere; events would be done without it.
-    fn on_return(&mut self, order: u64) {
-        if self.entries.get(&ReporterKey::Lost(order)).is_none_or(Entry::is_gateway) {
-            self.remove_lost(order);
-        } else if let Some(lost) = self.lost.get(&order) {
-            self.returned.insert((lost.gateways_before, order));
+    fn on_return(&mut self, loss_index: u64) {
+        if self.entries.get(&ReporterKey::Lost(loss_index)).is_none_or(ReporterEntry::is_gateway) {
+            self.remove_lost(loss_index);
+        } else if let Some(lost) = self.lost.get(&loss_index) {
+            self.returned.insert((lost.gateways_before, loss_index));
         }
     }
 
     /// Drops relays that have returned, once as many gateways are connected as before they were lost.
     fn drop_returned(&mut self) {
         let connected = self.connected_gateways();
-        while let Some(&(_, order)) = self.returned.first().filter(|(before, _)| *before <= connected) {
-            self.remove_lost(order);
+        while let Some(&(_, loss_index)) = self.returned.first().filter(|(before, _)| *before <= connected) {
+            self.remove_lost(loss_index);
         }
     }
 
-    fn expire_lost(&mut self, order: u64) {
-        let Some(entry) = self.remove_lost(order) else { return };
+    fn expire_lost(&mut self, loss_index: u64) {
+        let Some(entry) = self.remove_lost(loss_index) else { return };
         if let Some(name) = entry.name {
-            if self.lost_by_name.get(&name) == Some(&order) {
+            if self.lost_by_name.get(&name) == Some(&loss_index) {
                 self.lost_by_name.remove(&name);
             }
         }
     }
 
-    fn remove_lost(&mut self, order: u64) -> Option<Entry> {
-        if let Some(lost) = self.lost.remove(&order) {
-            self.returned.remove(&(lost.gateways_before, order));
+    fn remove_lost(&mut self, loss_index: u64) -> Option<ReporterEntry> {
+        if let Some(lost) = self.lost.remove(&loss_index) {
+            self.returned.remove(&(lost.gateways_before, loss_index));
         }
-        self.remove(ReporterKey::Lost(order))
+        self.remove(ReporterKey::Lost(loss_index))
     }
 
-    fn insert(&mut self, key: ReporterKey, mut entry: Entry) {
+    fn insert(&mut self, key: ReporterKey, mut entry: ReporterEntry) {
         self.rejections.insert(key, entry.report.take_rejections());
         self.gateways += entry.report.gateways;
         self.gateways_lost += entry.report.lost;
@@ -284,7 +284,7 @@
         self.entries.insert(key, entry);
     }
 
-    fn remove(&mut self, key: ReporterKey) -> Option<Entry> {
+    fn remove(&mut self, key: ReporterKey) -> Option<ReporterEntry> {
         let mut entry = self.entries.remove(&key)?;
         let rejections = self.rejections.remove(key);
         entry.report.rejections = rejections.versions;
--- a/crates/distribution/src/positions/report.rs
+++ b/crates/distribution/src/positions/report.rs
@@ -12,7 +12,7 @@
 pub const MAX_NAME_BYTES: usize = MAX_GATEWAY_NAME_BYTES;
 
 /// Gateways counted for one report at most: a report that says more is wrong, and must not make the sums overflow.
-const MAX_GATEWAYS_A_REPORT: u64 = 1 << 32;
+const MAX_GATEWAYS_PER_REPORT: u64 = 1 << 32;
 
 /// A gateway and how far it has applied the events.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -47,8 +47,8 @@
     /// A gateway's report of itself.
     pub fn of_gateway(name: &str, applied: EventNumber) -> PositionReport {
         let name = bounded_name(name);
-        let itself = Straggler { name: name.to_string(), applied };
-        PositionReport { applied, gateways: 1, furthest: vec![itself], ..PositionReport::default() }
+        let own_position = Straggler { name: name.to_string(), applied };
+        PositionReport { applied, gateways: 1, furthest: vec![own_position], ..PositionReport::default() }
     }
 
     /// The report of a gateway that cannot apply these versions, whose name is that of the report.
@@ -56,7 +56,7 @@
         mut self,
         rejections: impl IntoIterator<Item = &'a Rejection>,
     ) -> PositionReport {
-        let name = self.furthest.first().map_or("", |itself| itself.name.as_str());
+        let name = self.furthest.first().map_or("", |own_position| own_position.name.as_str());
         let versions = rejections.into_iter().map(|rejection| RejectedVersion::of_gateway(name, rejection));
         self.rejections = versions.collect();
         self.bounded()
@@ -85,7 +85,7 @@
         for straggler in &mut self.furthest {
             straggler.name.truncate(bounded_name(&straggler.name).len());
         }
-        self.gateways = self.gateways.min(MAX_GATEWAYS_A_REPORT);
+        self.gateways = self.gateways.min(MAX_GATEWAYS_PER_REPORT);
         self.lost = self.lost.min(self.gateways);
         self.bound_rejections();
         self
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -64,7 +64,7 @@
 struct ReportState {
     changed: bool,
     /// The earliest time of the next one.
-    next: MonotonicTime,
+    next_report_at: MonotonicTime,
 }
 
 impl Relay {
@@ -95,25 +95,25 @@
     pub fn handle(&mut self, now: MonotonicTime, input: Input, out: &mut Vec<Output>) {
         out.append(&mut self.deferred);
         match input {
-            Input::Event(event) => self.take_event(now, event, out),
-            Input::Heartbeat { source_alive_at } => self.take_heartbeat(now, source_alive_at, out),
-            Input::UpstreamConnected => self.upstream_up(now),
-            Input::UpstreamDisconnected => self.upstream_down(now),
-            Input::UpstreamGap(event) => self.take_gap(now, event, out),
+            Input::Event(event) => self.handle_event(now, event, out),
+            Input::Heartbeat { source_alive_at } => self.handle_heartbeat(now, source_alive_at, out),
+            Input::UpstreamConnected => self.handle_upstream_connected(now),
+            Input::UpstreamDisconnected => self.handle_upstream_disconnected(now),
+            Input::UpstreamGap(event) => self.handle_gap(now, event, out),
             Input::OtherHistory(mismatch) => self.stop_serving(now, mismatch, out),
             Input::Subscribe { id, request } => self.subscribe(now, id, request, out),
-            Input::Position { id, report } => self.take_position(now, id, report),
+            Input::Position { id, report } => self.handle_position(now, id, report),
             Input::SubscriberDisconnected(id) => self.remove_subscriber(now, id, out),
             Input::Tick => {}
         }
-        self.run_due(now, out);
+        self.run_timers(now, out);
     }
 
     /// When [`Input::Tick`] is wanted, if ever. It changes with each call of `handle` and `next_chunk`.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         let deferred = (!self.deferred.is_empty()).then_some(MonotonicTime::MIN);
-        let report = self.report.changed.then_some(self.report.next);
-        let others = [self.ring.due(), self.subscribers.next_due(), self.positions.next_due()];
+        let report = self.report.changed.then_some(self.report.next_report_at);
+        let others = [self.ring.seal_at(), self.subscribers.next_due(), self.positions.next_due()];
         others.into_iter().chain([deferred, report]).flatten().min()
     }
 
@@ -162,18 +162,18 @@
         self.log.bytes() + self.ring.bytes() + self.pages.bytes()
     }
 
-    fn upstream_down(&mut self, now: MonotonicTime) {
+    fn handle_upstream_disconnected(&mut self, now: MonotonicTime) {
         if self.readiness == Readiness::Ready {
             self.become_unready(now);
         }
     }
 
-    fn upstream_up(&mut self, now: MonotonicTime) {
+    fn handle_upstream_connected(&mut self, now: MonotonicTime) {
         self.become_unready(now);
         self.report.changed = true;
     }
 
-    fn take_position(
+    fn handle_position(
         &mut self,
         now: MonotonicTime,
         id: SubscriberId,
@@ -184,20 +184,20 @@
         self.report.changed = true;
     }
 
-    fn run_due(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
-        if self.ring.due().is_some_and(|due| due <= now) {
+    fn run_timers(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
+        if self.ring.seal_at().is_some_and(|seal_at| seal_at <= now) {
             self.seal(now, out);
         }
         while let Some(id) = self.subscribers.expired(now) {
-            self.deadline_passed(now, id, out);
+            self.handle_deadline(now, id, out);
         }
         if self.positions.next_due().is_some_and(|due| due <= now) {
             self.positions.expire(now);
             self.report.changed = true;
         }
-        if self.report.changed && self.report.next <= now {
+        if self.report.changed && self.report.next_report_at <= now {
             self.report.changed = false;
-            self.report.next = now + self.settings.report_interval;
+            self.report.next_report_at = now + self.settings.report_interval;
             out.push(Output::Report(self.positions.aggregate()));
         }
     }
--- a/crates/distribution/src/relay/admission.rs
+++ b/crates/distribution/src/relay/admission.rs
@@ -27,7 +27,7 @@
         }
         match self.readiness {
             Readiness::Ready => self.subscribe_when_ready(now, id, request, out),
-            Readiness::Unready => self.wait(id, WaitingRequest { request, since: now }, out),
+            Readiness::Unready => self.enqueue(id, WaitingRequest { request, since: now }, out),
             Readiness::Stopped => self.reject(id, RejectReason::NotReady, out),
         }
     }
@@ -41,8 +41,8 @@
     ) {
         match self.initial_state(&request) {
             Err(reason) => self.reject(id, reason, out),
-            Ok(state) if state.catches_up() && !self.may_catch_up() => {
-                self.wait(id, WaitingRequest { request, since: now }, out);
+            Ok(state) if state.is_catching_up() && !self.may_catch_up() => {
+                self.enqueue(id, WaitingRequest { request, since: now }, out);
             }
             Ok(state) => {
                 let scope = self.scope_of(&request);
@@ -80,16 +80,16 @@
 
     /// The deadline of one that waits has passed: it is rejected, unless it has the rest of its time for admission
     /// because the relay has become ready meanwhile.
-    pub(super) fn waiting_deadline_passed(
+    pub(super) fn handle_waiting_deadline(
         &mut self,
         now: MonotonicTime,
         id: SubscriberId,
         out: &mut Vec<Output>,
     ) {
         let waiting = self.subscribers.get(id).and_then(|subscriber| subscriber.waiting.as_ref());
-        let due = waiting.map_or(now, |waiting| self.waiting_deadline(waiting.since));
-        if self.is_ready() && due > now {
-            return self.subscribers.set_deadline(id, due);
+        let deadline = waiting.map_or(now, |waiting| self.waiting_deadline(waiting.since));
+        if self.is_ready() && deadline > now {
+            return self.subscribers.set_deadline(id, deadline);
         }
         self.subscribers.remove(id);
         self.reject(id, self.waiting_reason(), out);
@@ -106,8 +106,8 @@
     pub(super) fn snapshot_number(&self, cursor: EventNumber) -> Option<EventNumber> {
         let last = self.ring.last().max(self.log.first() - 1);
         let before_last = last.saturating_sub(1).max(self.log.first() - 1);
-        let shows = |number: &EventNumber| snapshot_shows(cursor, *number);
-        [before_last, last].into_iter().find(shows).filter(|_| self.log.stores().is_complete())
+        let is_visible = |number: &EventNumber| shows_as_jump(cursor, *number);
+        [before_last, last].into_iter().find(is_visible).filter(|_| self.log.stores().is_complete())
     }
 
     /// Whether one more subscriber may catch up now.
@@ -132,14 +132,14 @@
         }
     }
 
-    fn wait(&mut self, id: SubscriberId, waiting: WaitingRequest, out: &mut Vec<Output>) {
+    fn enqueue(&mut self, id: SubscriberId, waiting: WaitingRequest, out: &mut Vec<Output>) {
         if self.subscribers.waiting() >= self.settings.max_waiting {
             return self.reject(id, self.waiting_reason(), out);
         }
         let scope = self.scope_of(&waiting.request);
-        let due = self.waiting_deadline(waiting.since);
+        let deadline = self.waiting_deadline(waiting.since);
         self.subscribers.insert_waiting(id, waiting, scope);
-        self.subscribers.set_deadline(id, due);
+        self.subscribers.set_deadline(id, deadline);
     }
 
     /// Admits one that waits, or rejects it; it goes on waiting if it has to catch up and there is no capacity.
@@ -147,7 +147,7 @@
         let waiting = self.subscribers.get(id).and_then(|subscriber| subscriber.waiting.as_ref());
         let Some(waiting) = waiting else { return };
         match self.initial_state(&waiting.request) {
-            Ok(state) if state.catches_up() && !self.may_catch_up() => {}
+            Ok(state) if state.is_catching_up() && !self.may_catch_up() => {}
             Ok(state) => {
                 self.subscribers.set_state(id, state);
                 self.accept(now, id, out);
@@ -162,9 +162,9 @@
     fn accept(&mut self, now: MonotonicTime, id: SubscriberId, out: &mut Vec<Output>) {
         let Some(subscriber) = self.subscribers.get_mut(id) else { return };
         subscriber.progress = now;
-        let catches_up = subscriber.state.catches_up();
-        let limit = if catches_up { self.settings.catch_up_timeout } else { self.settings.stall_timeout };
-        self.subscribers.set_deadline(id, now + limit);
+        let catches_up = subscriber.state.is_catching_up();
+        let timeout = if catches_up { self.settings.catch_up_timeout } else { self.settings.stall_timeout };
+        self.subscribers.set_deadline(id, now + timeout);
         out.push(Output::Accept(id));
     }
 
@@ -233,7 +233,7 @@
 
 /// Whether a subscriber sees the jump if it gets a snapshot under this number. Else it would take the snapshot for the
 /// event of that number, and its digest for that of the history.
-pub(super) fn snapshot_shows(cursor: EventNumber, number: EventNumber) -> bool {
+pub(super) fn shows_as_jump(cursor: EventNumber, number: EventNumber) -> bool {
     let next_expected = cursor + 1;
     number > next_expected
 }
--- a/crates/distribution/src/relay/encoder.rs
+++ b/crates/distribution/src/relay/encoder.rs
@@ -12,7 +12,7 @@
 
 /// Which form of the same events a piece holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct PieceKey {
+pub(super) struct PieceFormat {
     /// None for the unfiltered list, and for pieces without list events, which all scopes share.
     pub scope: Option<ScopeIndex>,
     pub encoding: Encoding,
@@ -92,16 +92,16 @@
         &mut self,
         events: &[OutgoingEvent],
         source_alive_at: Option<UnixMicros>,
-        key: PieceKey,
+        format: PieceFormat,
     ) -> Arc<[u8]> {
         let mut text = String::new();
         for event in events {
-            write_event(&mut text, event.number, &self.data(event, key.scope));
+            write_event(&mut text, event.number, &self.data(event, format.scope));
         }
         if let Some(source_alive_at) = source_alive_at {
             write_heartbeat(&mut text, source_alive_at);
         }
-        self.encode_text(&text, key.encoding)
+        self.encode_text(&text, format.encoding)
     }
 
     /// Encodes one event under its data.
--- a/crates/distribution/src/relay/pages.rs
+++ b/crates/distribution/src/relay/pages.rs
@@ -1,5 +1,5 @@
 //! Catch-up: pages of the log aligned to fixed numbers and snapshots, each encoded once and shared.
-use super::encoder::{Encoder, OutgoingEvent, PieceKey};
+use super::encoder::{Encoder, OutgoingEvent, PieceFormat};
 use crate::event::EventNumber;
 use crate::log::EventLog;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 
 /// What is cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Content {
+enum CachedContent {
     /// The page of this index.
     Page(u64),
     Snapshot,
@@ -15,18 +15,18 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CacheKey {
-    content: Content,
-    piece: PieceKey,
+    content: CachedContent,
+    format: PieceFormat,
 }
 
 #[derive(Debug)]
-struct Cached {
+struct CachedPiece {
     bytes: Arc<[u8]>,
     /// The last event in a page, the number of a snapshot.
     last: EventNumber,
     audience: Audience,
     /// When it was used last, in order of use.
-    used: u64,
+    last_use: u64,
 }
 
 /// Which scopes share an encoded piece.
@@ -50,21 +50,21 @@
 pub(super) struct PageCache {
     page_events: u64,
     /// Bytes at most; the piece used longest ago is dropped, the newest always stays.
-    limit: usize,
-    pieces: BTreeMap<CacheKey, Cached>,
+    max_bytes: usize,
+    pieces: BTreeMap<CacheKey, CachedPiece>,
     by_use: BTreeMap<u64, CacheKey>,
-    uses: u64,
+    use_count: u64,
     bytes: usize,
 }
 
 impl PageCache {
-    pub(super) fn new(page_events: u64, limit: usize) -> PageCache {
+    pub(super) fn new(page_events: u64, max_bytes: usize) -> PageCache {
         PageCache {
             page_events: page_events.max(1),
-            limit,
+            max_bytes,
             pieces: BTreeMap::new(),
             by_use: BTreeMap::new(),
-            uses: 0,
+            use_count: 0,
             bytes: 0,
         }
     }
@@ -88,11 +88,11 @@
         log: &EventLog,
         cursor: EventNumber,
         last: EventNumber,
-        piece: PieceKey,
+        format: PieceFormat,
         encoder: &mut Encoder,
     ) -> CatchUpPiece {
         let index = cursor / self.page_events;
-        if let Some(found) = self.cached_page(index, cursor, piece) {
+        if let Some(found) = self.cached_page(index, cursor, format) {
             return found;
         }
         let first = (index * self.page_events + 1).max(log.first());
@@ -102,33 +102,34 @@
             true => Audience::OneScope,
             false => Audience::AllScopes,
         };
-        let piece = PieceKey { scope: piece.scope.filter(|_| audience == Audience::OneScope), ..piece };
-        let bytes = encoder.encode(&events, None, piece);
+        let format = PieceFormat { scope: format.scope.filter(|_| audience == Audience::OneScope), ..format };
+        let bytes = encoder.encode(&events, None, format);
         encoder.statistics.pages_encoded += 1;
-        self.insert(CacheKey { content: Content::Page(index), piece }, bytes, last, audience)
+        self.insert(CacheKey { content: CachedContent::Page(index), format }, bytes, last, audience)
     }
 
-    fn cached_page(&mut self, index: u64, cursor: EventNumber, piece: PieceKey) -> Option<CatchUpPiece> {
-        let content = Content::Page(index);
-        let shared = CacheKey { content, piece: PieceKey { scope: None, ..piece } };
-        let own = CacheKey { content, piece };
-        let for_all = |cached: &Cached| cached.audience == Audience::AllScopes || piece.scope.is_none();
+    fn cached_page(&mut self, index: u64, cursor: EventNumber, format: PieceFormat) -> Option<CatchUpPiece> {
+        let content = CachedContent::Page(index);
+        let shared = CacheKey { content, format: PieceFormat { scope: None, ..format } };
+        let scoped = CacheKey { content, format };
+        let applies_to_scope =
+            |cached: &CachedPiece| cached.audience == Audience::AllScopes || format.scope.is_none();
         // A page that was cut short at the log's end is of no use to one that has got so far.
-        let useful = |cached: &&Cached| cached.last > cursor;
-        if self.pieces.get(&shared).filter(useful).is_some_and(for_all) {
+        let extends_cursor = |cached: &&CachedPiece| cached.last > cursor;
+        if self.pieces.get(&shared).filter(extends_cursor).is_some_and(applies_to_scope) {
             return self.mark_used(shared);
         }
-        self.pieces.get(&own).filter(useful)?;
-        self.mark_used(own)
+        self.pieces.get(&scoped).filter(extends_cursor)?;
+        self.mark_used(scoped)
     }
 
     /// A cached snapshot, if its number is one of `usable`.
     pub(super) fn snapshot(
         &mut self,
-        piece: PieceKey,
+        format: PieceFormat,
         usable: impl Fn(EventNumber) -> bool,
     ) -> Option<CatchUpPiece> {
-        let key = CacheKey { content: Content::Snapshot, piece };
+        let key = CacheKey { content: CachedContent::Snapshot, format };
         self.pieces.get(&key).filter(|cached| usable(cached.last))?;
         self.mark_used(key)
     }
@@ -138,20 +139,20 @@
         &mut self,
         number: EventNumber,
         data: &str,
-        piece: PieceKey,
+        format: PieceFormat,
         encoder: &mut Encoder,
     ) -> CatchUpPiece {
-        let bytes = encoder.encode_event(number, data, piece.encoding);
+        let bytes = encoder.encode_event(number, data, format.encoding);
         encoder.statistics.snapshots_encoded += 1;
-        self.insert(CacheKey { content: Content::Snapshot, piece }, bytes, number, Audience::OneScope)
+        self.insert(CacheKey { content: CachedContent::Snapshot, format }, bytes, number, Audience::OneScope)
     }
 
     fn mark_used(&mut self, key: CacheKey) -> Option<CatchUpPiece> {
         let cached = self.pieces.get_mut(&key)?;
-        self.by_use.remove(&cached.used);
-        self.uses += 1;
-        cached.used = self.uses;
-        self.by_use.insert(self.uses, key);
+        self.by_use.remove(&cached.last_use);
+        self.use_count += 1;
+        cached.last_use = self.use_count;
+        self.by_use.insert(self.use_count, key);
         Some(CatchUpPiece { bytes: cached.bytes.clone(), last: cached.last })
     }
 
@@ -163,16 +164,17 @@
         audience: Audience,
     ) -> CatchUpPiece {
         self.remove(key);
-        self.uses += 1;
+        self.use_count += 1;
         self.bytes += bytes.len();
-        self.by_use.insert(self.uses, key);
-        self.pieces.insert(key, Cached { bytes: bytes.clone(), last, audience, used: self.uses });
+        self.by_use.insert(self.use_count, key);
+        self.pieces
+            .insert(key, CachedPiece { bytes: bytes.clone(), last, audience, last_use: self.use_count });
         self.evict();
         CatchUpPiece { bytes, last }
     }
 
     fn evict(&mut self) {
-        while self.bytes > self.limit && self.pieces.len() > 1 {
+        while self.bytes > self.max_bytes && self.pieces.len() > 1 {
             let Some((_, key)) = self.by_use.first_key_value() else { return };
             self.remove(*key);
         }
@@ -180,7 +182,7 @@
 
     fn remove(&mut self, key: CacheKey) {
         let Some(cached) = self.pieces.remove(&key) else { return };
-        self.by_use.remove(&cached.used);
+        self.by_use.remove(&cached.last_use);
         self.bytes -= cached.bytes.len();
     }
 }
--- a/crates/distribution/src/relay/ring.rs
+++ b/crates/distribution/src/relay/ring.rs
@@ -1,5 +1,5 @@
 //! Events on their way to the subscribers that are caught up: the batch that gathers, and those that are sealed.
-use super::encoder::{Encoder, OutgoingEvent, PieceKey};
+use super::encoder::{Encoder, OutgoingEvent, PieceFormat};
 use crate::event::EventNumber;
 use larchway::MonotonicTime;
 use larchway_unix_time::UnixMicros;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 struct Batch {
     /// The last event before this batch, and the last in it.
-    before: EventNumber,
+    last_before: EventNumber,
     last: EventNumber,
     events: Vec<OutgoingEvent>,
     heartbeat: Option<UnixMicros>,
@@ -24,7 +24,7 @@
     /// Bytes of the texts and the pieces.
     bytes: usize,
     /// At most two a scope.
-    pieces: BTreeMap<PieceKey, Arc<[u8]>>,
+    pieces: BTreeMap<PieceFormat, Arc<[u8]>>,
 }
 
 /// The batch that gathers.
@@ -33,7 +33,7 @@
     events: Vec<OutgoingEvent>,
     heartbeat: Option<UnixMicros>,
     bytes: usize,
-    due: Option<MonotonicTime>,
+    seal_at: Option<MonotonicTime>,
 }
 
 /// Bounds of a [`BatchRing`]; see the fields of the same names in `RelaySettings`.
@@ -106,13 +106,13 @@
     }
 
     /// When the open batch is to be sealed.
-    pub(super) fn due(&self) -> Option<MonotonicTime> {
-        self.open.due
+    pub(super) fn seal_at(&self) -> Option<MonotonicTime> {
+        self.open.seal_at
     }
 
     /// Adds an event to the open batch, which is sealed once it is full.
     pub(super) fn add(&mut self, now: MonotonicTime, event: OutgoingEvent) -> BatchState {
-        self.open.due.get_or_insert(now + self.limits.batch_interval);
+        self.open.seal_at.get_or_insert(now + self.limits.batch_interval);
         self.open.bytes += event.bytes();
         self.open.events.push(event);
         match self.open.bytes >= self.limits.batch_bytes {
@@ -123,21 +123,21 @@
 
     /// Adds a heartbeat behind the events of the open batch.
     pub(super) fn add_heartbeat(&mut self, now: MonotonicTime, source_alive_at: UnixMicros) {
-        self.open.due.get_or_insert(now + self.limits.batch_interval);
+        self.open.seal_at.get_or_insert(now + self.limits.batch_interval);
         self.open.heartbeat = Some(source_alive_at);
     }
 
     /// Seals the open batch, unless there is nothing in it.
     pub(super) fn seal(&mut self, now: MonotonicTime) -> BatchState {
         let open = std::mem::take(&mut self.open);
-        if open.due.is_none() {
+        if open.seal_at.is_none() {
             return BatchState::Open;
         }
-        let before = self.last;
-        self.last = open.events.last().map_or(before, |event| event.number);
+        let last_before = self.last;
+        self.last = open.events.last().map_or(last_before, |event| event.number);
         self.bytes += open.bytes;
         self.sealed.push_back(Batch {
-            before,
+            last_before,
             last: self.last,
             contains_list: open.events.iter().any(|event| event.has_stores),
             events: open.events,
@@ -167,26 +167,26 @@
         }
         let index = self.sealed.partition_point(|batch| batch.last <= cursor);
         let batch = self.sealed.get(index)?;
-        (batch.before <= cursor).then(|| self.oldest + index as BatchNumber)
+        (batch.last_before <= cursor).then(|| self.oldest + index as BatchNumber)
     }
 
     /// The piece of a batch in the form asked for; none if the batch is not sealed yet or not here any more.
     pub(super) fn piece(
         &mut self,
         number: BatchNumber,
-        mut key: PieceKey,
+        mut format: PieceFormat,
         encoder: &mut Encoder,
     ) -> Option<BatchPiece> {
         let index = number.checked_sub(self.oldest)?;
         let batch = self.sealed.get_mut(index as usize)?;
-        key.scope = key.scope.filter(|_| batch.contains_list);
+        format.scope = format.scope.filter(|_| batch.contains_list);
         let last = batch.last;
-        if let Some(bytes) = batch.pieces.get(&key) {
+        if let Some(bytes) = batch.pieces.get(&format) {
             return Some(BatchPiece { bytes: bytes.clone(), last });
         }
-        let bytes = encoder.encode(&batch.events, batch.heartbeat, key);
+        let bytes = encoder.encode(&batch.events, batch.heartbeat, format);
         encoder.statistics.batches_encoded += 1;
-        batch.pieces.insert(key, bytes.clone());
+        batch.pieces.insert(format, bytes.clone());
         batch.bytes += bytes.len();
         self.bytes += bytes.len();
         self.evict();
--- a/crates/distribution/src/relay/serving.rs
+++ b/crates/distribution/src/relay/serving.rs
@@ -1,5 +1,5 @@
 //! What each subscriber is sent next, and who is disconnected.
-use super::admission::snapshot_shows;
+use super::admission::shows_as_jump;
 use super::messages::{DisconnectReason, Output, SubscriberId};
 use super::subscribers::ReadState;
 use super::Relay;
@@ -61,29 +61,29 @@
     }
 
     /// The deadline of a subscriber has passed.
-    pub(super) fn deadline_passed(&mut self, now: MonotonicTime, id: SubscriberId, out: &mut Vec<Output>) {
+    pub(super) fn handle_deadline(&mut self, now: MonotonicTime, id: SubscriberId, out: &mut Vec<Output>) {
         let Some(subscriber) = self.subscribers.get(id) else { return };
         match subscriber.state {
-            ReadState::Waiting(_) => self.waiting_deadline_passed(now, id, out),
+            ReadState::Waiting(_) => self.handle_waiting_deadline(now, id, out),
             ReadState::Snapshot | ReadState::CatchUp => {
                 self.disconnect(now, id, DisconnectReason::CatchUpTooSlow, out);
             }
             ReadState::Live(next) => {
                 // A subscriber with nothing to read counts as one that has just read.
                 let unread_since = self.ring.unread_since(next, subscriber.progress).unwrap_or(now);
-                let due = unread_since + self.settings.stall_timeout;
-                if due <= now {
+                let stalls_at = unread_since + self.settings.stall_timeout;
+                if stalls_at <= now {
                     self.disconnect(now, id, DisconnectReason::Stalled, out);
                 } else {
-                    self.subscribers.set_deadline(id, due);
+                    self.subscribers.set_deadline(id, stalls_at);
                 }
             }
         }
     }
 
     fn advance(&mut self, now: MonotonicTime, id: SubscriberId, piece: NextPiece) -> Arc<[u8]> {
-        let caught_up = self.subscribers.get(id).is_some_and(|subscriber| subscriber.state.catches_up())
-            && !piece.state.catches_up();
+        let caught_up = self.subscribers.get(id).is_some_and(|subscriber| subscriber.state.is_catching_up())
+            && !piece.state.is_catching_up();
         if let Some(subscriber) = self.subscribers.get_mut(id) {
             subscriber.cursor = subscriber.cursor.max(piece.cursor);
             subscriber.progress = now;
@@ -105,19 +105,19 @@
             ReadState::Waiting(_) => Ok(None),
             ReadState::Snapshot => self.snapshot_piece(id, cursor).map(Some),
             ReadState::CatchUp => self.catch_up_piece(id, cursor),
-            ReadState::Live(next) if next < self.ring.oldest() => self.fall_back(id, cursor),
+            ReadState::Live(next) if next < self.ring.oldest() => self.return_to_catch_up(id, cursor),
             ReadState::Live(next) => Ok(self.batch_piece(id, next)),
         }
     }
 
     fn batch_piece(&mut self, id: SubscriberId, next: u64) -> Option<NextPiece> {
-        let key = self.subscribers.get(id)?.piece_key();
-        let piece = self.ring.piece(next, key, &mut self.encoder)?;
+        let format = self.subscribers.get(id)?.piece_format();
+        let piece = self.ring.piece(next, format, &mut self.encoder)?;
         Some(NextPiece { bytes: piece.bytes, cursor: piece.last, state: ReadState::Live(next + 1) })
     }
 
     /// The batch a subscriber was to read is gone. If events went with it, it goes back to the log, once.
-    fn fall_back(
+    fn return_to_catch_up(
         &mut self,
         id: SubscriberId,
         cursor: EventNumber,
@@ -126,17 +126,17 @@
             self.subscribers.set_state(id, ReadState::Live(next));
             return Ok(self.batch_piece(id, next));
         }
-        let full = self.subscribers.catching_up() >= self.settings.max_catching_up;
+        let at_capacity = self.subscribers.catching_up() >= self.settings.max_catching_up;
         let in_log = cursor >= self.log.first() - 1;
-        let limit = self.settings.catch_up_timeout;
+        let timeout = self.settings.catch_up_timeout;
         let Some(subscriber) = self.subscribers.get_mut(id) else { return Ok(None) };
-        if subscriber.fell_behind || full || !in_log {
+        if subscriber.fell_behind || at_capacity || !in_log {
             return Err(DisconnectReason::FellBehind);
         }
         subscriber.fell_behind = true;
-        let began = subscriber.progress;
+        let last_progress = subscriber.progress;
         self.subscribers.set_state(id, ReadState::CatchUp);
-        self.subscribers.set_deadline(id, began + limit);
+        self.subscribers.set_deadline(id, last_progress + timeout);
         self.catch_up_piece(id, cursor)
     }
 
@@ -152,8 +152,8 @@
             return Ok(self.batch_piece(id, next));
         }
         let Some(subscriber) = self.subscribers.get(id) else { return Ok(None) };
-        let key = subscriber.piece_key();
-        let page = self.pages.page(&self.log, cursor, self.ring.last(), key, &mut self.encoder);
+        let format = subscriber.piece_format();
+        let page = self.pages.page(&self.log, cursor, self.ring.last(), format, &mut self.encoder);
         Ok(Some(NextPiece { bytes: page.bytes, cursor: page.last, state: self.state_after(page.last) }))
     }
 
@@ -168,21 +168,21 @@
         cursor: EventNumber,
     ) -> Result<NextPiece, DisconnectReason> {
         let subscriber = self.subscribers.get(id).ok_or(DisconnectReason::NoSnapshot)?;
-        let key = subscriber.piece_key();
+        let format = subscriber.piece_format();
         let base = self.log.first() - 1;
         let ring = &self.ring;
         // An older snapshot serves as well, as long as the batches continue it.
         let usable =
-            |number| snapshot_shows(cursor, number) && number >= base && ring.batch_after(number).is_some();
-        let cached = self.pages.snapshot(key, usable);
+            |number| shows_as_jump(cursor, number) && number >= base && ring.batch_after(number).is_some();
+        let cached = self.pages.snapshot(format, usable);
         let piece = match cached {
             Some(piece) => piece,
             None => {
                 let number = self.snapshot_number(cursor).ok_or(DisconnectReason::NoSnapshot)?;
-                let scope = key.scope.map(|index| self.encoder.scope(index));
+                let scope = format.scope.map(|index| self.encoder.scope(index));
                 let passes = |store: &_| scope.is_none_or(|scope| scope.contains(store));
                 let data = self.log.snapshot(number, passes).ok_or(DisconnectReason::NoSnapshot)?;
-                self.pages.add_snapshot(number, &data, key, &mut self.encoder)
+                self.pages.add_snapshot(number, &data, format, &mut self.encoder)
             }
         };
         Ok(NextPiece { bytes: piece.bytes, cursor: piece.last, state: self.state_after(piece.last) })
--- a/crates/distribution/src/relay/subscribers.rs
+++ b/crates/distribution/src/relay/subscribers.rs
@@ -1,5 +1,5 @@
 //! The subscribers of a relay: what each one reads, their deadlines, and the queue for admission.
-use super::encoder::{PieceKey, ScopeIndex};
+use super::encoder::{PieceFormat, ScopeIndex};
 use super::messages::{SubscribeRequest, SubscriberId};
 use super::ring::BatchNumber;
 use crate::batch::Encoding;
@@ -24,7 +24,7 @@
 }
 
 impl ReadState {
-    pub(super) fn catches_up(self) -> bool {
+    pub(super) fn is_catching_up(self) -> bool {
         matches!(self, ReadState::Snapshot | ReadState::CatchUp)
     }
 }
@@ -51,12 +51,12 @@
     pub fell_behind: bool,
     /// When it pulled something last.
     pub progress: MonotonicTime,
-    due: MonotonicTime,
+    deadline: MonotonicTime,
 }
 
 impl Subscriber {
-    pub(super) fn piece_key(&self) -> PieceKey {
-        PieceKey { scope: self.scope, encoding: self.encoding }
+    pub(super) fn piece_format(&self) -> PieceFormat {
+        PieceFormat { scope: self.scope, encoding: self.encoding }
     }
 }
 
@@ -107,7 +107,7 @@
         state: ReadState,
     ) {
         self.remove(id);
-        self.catching_up += usize::from(state.catches_up());
+        self.catching_up += usize::from(state.is_catching_up());
         let subscriber = Subscriber {
             cursor: request.cursor.unwrap_or(0),
             state,
@@ -118,7 +118,7 @@
             header_sent: request.encoding == Encoding::Identity,
             fell_behind: false,
             progress: MonotonicTime::MIN,
-            due: MonotonicTime::MAX,
+            deadline: MonotonicTime::MAX,
         };
         self.by_id.insert(id, subscriber);
     }
@@ -141,11 +141,11 @@
 
     pub(super) fn remove(&mut self, id: SubscriberId) -> Option<Subscriber> {
         let subscriber = self.by_id.remove(&id)?;
-        self.deadlines.remove(&(subscriber.due, id));
+        self.deadlines.remove(&(subscriber.deadline, id));
         if let ReadState::Waiting(position) = subscriber.state {
             self.queue.remove(&position);
         }
-        self.catching_up -= usize::from(subscriber.state.catches_up());
+        self.catching_up -= usize::from(subscriber.state.is_catching_up());
         Some(subscriber)
     }
 
@@ -170,32 +170,32 @@
             self.queue.remove(&position);
             subscriber.waiting = None;
         }
-        self.catching_up += usize::from(state.catches_up());
-        self.catching_up -= usize::from(subscriber.state.catches_up());
+        self.catching_up += usize::from(state.is_catching_up());
+        self.catching_up -= usize::from(subscriber.state.is_catching_up());
         subscriber.state = state;
     }
 
-    pub(super) fn set_deadline(&mut self, id: SubscriberId, due: MonotonicTime) {
+    pub(super) fn set_deadline(&mut self, id: SubscriberId, deadline: MonotonicTime) {
         let Some(subscriber) = self.by_id.get_mut(&id) else { return };
-        self.deadlines.remove(&(subscriber.due, id));
-        subscriber.due = due;
-        self.deadlines.insert((due, id));
+        self.deadlines.remove(&(subscriber.deadline, id));
+        subscriber.deadline = deadline;
+        self.deadlines.insert((deadline, id));
     }
 
     /// Brings a subscriber's deadline forward to this time, if it is later.
     pub(super) fn limit_deadline(&mut self, id: SubscriberId, latest: MonotonicTime) {
-        let due = self.by_id.get(&id).map(|subscriber| subscriber.due);
-        if due.is_some_and(|due| due > latest) {
+        let deadline = self.by_id.get(&id).map(|subscriber| subscriber.deadline);
+        if deadline.is_some_and(|deadline| deadline > latest) {
             self.set_deadline(id, latest);
         }
     }
 
     pub(super) fn next_due(&self) -> Option<MonotonicTime> {
-        self.deadlines.first().map(|(due, _)| *due)
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
     /// The subscriber whose deadline came first, if that is over.
     pub(super) fn expired(&self, now: MonotonicTime) -> Option<SubscriberId> {
-        self.deadlines.first().filter(|(due, _)| *due <= now).map(|(_, id)| *id)
+        self.deadlines.first().filter(|(deadline, _)| *deadline <= now).map(|(_, id)| *id)
     }
 }
--- a/crates/distribution/src/relay/upstream.rs
+++ b/crates/distribution/src/relay/upstream.rs
@@ -11,12 +11,12 @@
 
 impl Relay {
     /// The next event from upstream.
-    pub(super) fn take_event(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
+    pub(super) fn handle_event(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
         let outgoing = OutgoingEvent::of_event(&event);
         match self.log.append(event.clone()) {
             Ok(Appended::Stored { .. }) => self.add_to_batch(now, outgoing, out),
             Ok(Appended::Duplicate) => {}
-            Err(AppendError::Gap { .. }) => self.take_gap(now, event, out),
+            Err(AppendError::Gap { .. }) => self.handle_gap(now, event, out),
             Err(AppendError::OtherHistory { number }) => {
                 self.stop_serving(now, HistoryMismatch::EventDiffers { number }, out);
             }
@@ -24,7 +24,7 @@
     }
 
     /// A heartbeat from upstream, which comes only when all events before it have.
-    pub(super) fn take_heartbeat(
+    pub(super) fn handle_heartbeat(
         &mut self,
         now: MonotonicTime,
         source_alive_at: UnixMicros,
@@ -37,7 +37,7 @@
     }
 
     /// The first event after a gap. Subscribers see the same jump of numbers, which is their floor (E1).
-    pub(super) fn take_gap(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
+    pub(super) fn handle_gap(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
         let last = self.log.last();
         if event.number <= last {
             self.stop_serving(now, HistoryMismatch::NumberDecreased { last, received: event.number }, out);
--- a/crates/distribution/src/stores.rs
+++ b/crates/distribution/src/stores.rs
@@ -93,7 +93,7 @@
 }
 
 /// A name or an index into the configured names, as text.
-fn place_text(value: serde_json::Value) -> Option<String> {
+fn site_or_class_text(value: serde_json::Value) -> Option<String> {
     match value {
         serde_json::Value::String(name) => Some(name),
         serde_json::Value::Number(index) => Some(index.to_string()),
@@ -113,8 +113,8 @@
         let form: StoreForm = serde_json::from_str(raw.get()).ok()?;
         Some(StoreEntry {
             host: form.host,
-            site: place_text(form.site),
-            class: place_text(form.class),
+            site: site_or_class_text(form.site),
+            class: site_or_class_text(form.class),
             removed: form.health.as_deref() == Some(REMOVED),
             json: raw.get().into(),
         })
@@ -141,7 +141,7 @@
 }
 
 /// A text as JSON; none if it is not.
-fn raw(json: &str) -> Option<&RawValue> {
+fn parse_raw_json(json: &str) -> Option<&RawValue> {
     serde_json::from_str(json).ok()
 }
 
@@ -158,9 +158,9 @@
     entries: impl Iterator<Item = &'a str>,
     documents: Option<&'a str>,
 ) -> String {
-    let hosts = entries.filter_map(raw).collect();
+    let hosts = entries.filter_map(parse_raw_json).collect();
     let roster = ListOutput { sequence: list.sequence, is_full: list.kind == ListKind::Full, hosts };
-    let event = EventOutput { number, roster, documents: documents.and_then(raw) };
+    let event = EventOutput { number, roster, documents: documents.and_then(parse_raw_json) };
     serde_json::to_string(&event).unwrap_or_default()
 }
 
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -20,7 +20,7 @@
 use crate::event::{EventNumber, MAX_EVENT_NUMBER};
 use larchway::MonotonicTime;
 use larchway_unix_time::{Anchor, UnixMicros};
-use link::{Connection, KnownEvent, Link};
+use link::{Connection, Link, ReferenceEvent};
 use sources::Sources;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     /// The last event applied; 0 before the first.
     cursor: EventNumber,
     /// The last event applied whose digest identifies the history.
-    known: Option<KnownEvent>,
+    reference_event: Option<ReferenceEvent>,
     /// The cursor at which the next event was missing or unreadable, when it was requested once more.
     retried_cursor: Option<EventNumber>,
     /// When the source was last known to be alive, by the last comment.
@@ -80,7 +80,7 @@
             seed,
             link,
             cursor: cursor.min(MAX_EVENT_NUMBER),
-            known: None,
+            reference_event: None,
             retried_cursor: None,
             source_alive_at: None,
             source_alive_unix: None,
@@ -101,8 +101,8 @@
         if is_same {
             return;
         }
-        self.leave(LeaveReason::Reconfigured, out);
-        self.known = None;
+        self.close_connection(LeaveReason::Reconfigured, out);
+        self.reference_event = None;
         self.sources = Sources::new(self.settings.sources.clone(), self.settings.max_backoff, self.seed);
         self.link = Link::before_dial(now, !self.settings.sources.is_empty());
     }
@@ -114,7 +114,7 @@
         if number <= self.cursor {
             return CursorChange::Unchanged;
         }
-        (self.cursor, self.known) = (number, None);
+        (self.cursor, self.reference_event) = (number, None);
         CursorChange::Advanced
     }
 
@@ -169,11 +169,11 @@
                 out.push(Output::Disconnected);
                 self.schedule_next(now);
             }
-            Input::BytesReceived => self.take_bytes(now, out),
-            Input::Comment(text) => self.take_comment(now, text, out),
-            Input::Event(event) => self.take_event(now, event, out),
+            Input::BytesReceived => self.handle_bytes(now, out),
+            Input::Comment(text) => self.handle_comment(now, text, out),
+            Input::Event(event) => self.handle_event(now, event, out),
             Input::Malformed => self.fail_over(now, LeaveReason::Malformed, out),
-            Input::Refused { status, retry_after } => self.take_refusal(now, status, retry_after, out),
+            Input::Refused { status, retry_after } => self.handle_refusal(now, status, retry_after, out),
         }
     }
 
--- a/crates/distribution/src/subscriber/dialing.rs
+++ b/crates/distribution/src/subscriber/dialing.rs
@@ -1,5 +1,5 @@
 //! Which request goes to the current source, and how a source is left for the next.
-use super::link::{Connection, KnownEvent, Link, Overlap};
+use super::link::{Connection, Link, Overlap, ReferenceEvent};
 use super::messages::{GapReason, LeaveReason, Output, SourceKind};
 use super::request::Subscription;
 use super::sources::Disagreement;
@@ -25,11 +25,11 @@
     /// Dials the current source.
     pub(super) fn dial(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         let Some(source) = self.sources.current() else { return };
-        let known = self.verification_event();
-        if known.is_none() && self.settings.verify && self.cursor > 0 {
+        let reference = self.verification_event();
+        if reference.is_none() && self.settings.verify && self.cursor > 0 {
             self.reset_cursor(GapReason::HistoryUnknown, out);
         }
-        let Verification { after, if_match, overlap } = self.verification(now, known);
+        let Verification { after, if_match, overlap } = self.verification(now, reference);
         let timeout = match self.settings.kind {
             SourceKind::Plain => SILENCE_TIMEOUT,
             SourceKind::Relay => ADMISSION_TIMEOUT,
@@ -46,25 +46,26 @@
         out.push(Output::Dial(Subscription { source, after, if_match, gzip, scope }));
     }
 
-    fn verification(&self, now: MonotonicTime, known: Option<KnownEvent>) -> Verification {
-        match (known, self.settings.kind) {
+    fn verification(&self, now: MonotonicTime, reference: Option<ReferenceEvent>) -> Verification {
+        match (reference, self.settings.kind) {
             (None, _) => Verification { after: self.cursor, if_match: None, overlap: None },
-            (Some(known), SourceKind::Relay) => {
-                Verification { after: known.number, if_match: Some(known.digest), overlap: None }
+            (Some(reference), SourceKind::Relay) => {
+                Verification { after: reference.number, if_match: Some(reference.digest), overlap: None }
             }
-            (Some(known), SourceKind::Plain) => {
-                let overlap = Overlap { known, until: now + OVERLAP_TIMEOUT };
-                Verification { after: known.number - 1, if_match: None, overlap: Some(overlap) }
+            (Some(reference), SourceKind::Plain) => {
+                let overlap = Overlap { event: reference, until: now + OVERLAP_TIMEOUT };
+                Verification { after: reference.number - 1, if_match: None, overlap: Some(overlap) }
             }
         }
     }
 
     /// The event by which the next source's history is compared.
-    fn verification_event(&self) -> Option<KnownEvent> {
+    fn verification_event(&self) -> Option<ReferenceEvent> {
         // A relay compares by its digests; a plain source has to send all from the known event on again.
         let is_relay = self.settings.kind == SourceKind::Relay;
-        let is_recent = |known: &KnownEvent| is_relay || self.cursor - known.number <= MAX_OVERLAP_EVENTS;
-        self.known.filter(is_recent).filter(|_| self.settings.verify)
+        let is_recent =
+            |reference: &ReferenceEvent| is_relay || self.cursor - reference.number <= MAX_OVERLAP_EVENTS;
+        self.reference_event.filter(is_recent).filter(|_| self.settings.verify)
     }
 
     /// Gives up the cursor. Danger: where nothing shows which history it was in, what follows it elsewhere may be of
@@ -76,7 +77,7 @@
     }
 
     /// The source answered with another status than 200.
-    pub(super) fn take_refusal(
+    pub(super) fn handle_refusal(
         &mut self,
         now: MonotonicTime,
         status: u16,
@@ -94,16 +95,16 @@
 
     /// The source has another history, or cannot show that it has the same.
     pub(super) fn reject_history(&mut self, now: MonotonicTime, reason: LeaveReason, out: &mut Vec<Output>) {
-        let disagreement = self.sources.disagreed();
+        let disagreement = self.sources.record_disagreement();
         self.fail_over(now, reason, out);
         if disagreement == Disagreement::All && self.settings.restart_history {
             self.reset_cursor(GapReason::OtherHistory, out);
-            self.sources.agreed();
+            self.sources.record_agreement();
         }
     }
 
     /// Closes the connection to the current source, if there is one.
-    pub(super) fn leave(&mut self, reason: LeaveReason, out: &mut Vec<Output>) {
+    pub(super) fn close_connection(&mut self, reason: LeaveReason, out: &mut Vec<Output>) {
         if matches!(self.link, Link::Connected(_)) {
             out.push(Output::Close(reason));
         }
@@ -112,14 +113,14 @@
 
     /// Leaves the current source for the next one.
     pub(super) fn fail_over(&mut self, now: MonotonicTime, reason: LeaveReason, out: &mut Vec<Output>) {
-        self.leave(reason, out);
+        self.close_connection(reason, out);
         self.schedule_next(now);
     }
 
     /// The current source is of no use: the next one is dialled after a pause.
     pub(super) fn schedule_next(&mut self, now: MonotonicTime) {
         if !matches!(self.link, Link::Idle) {
-            self.link = Link::Waiting { until: self.sources.fail(now) };
+            self.link = Link::Waiting { until: self.sources.advance_after_failure(now) };
         }
     }
 }
--- a/crates/distribution/src/subscriber/link.rs
+++ b/crates/distribution/src/subscriber/link.rs
@@ -5,7 +5,7 @@
 
 /// An event by whose data histories are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct KnownEvent {
+pub(super) struct ReferenceEvent {
     pub number: EventNumber,
     pub digest: u64,
 }
@@ -13,7 +13,7 @@
 /// The event that a plain source is to repeat first, and until when.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Overlap {
-    pub known: KnownEvent,
+    pub event: ReferenceEvent,
     pub until: MonotonicTime,
 }
 
--- a/crates/distribution/src/subscriber/sources.rs
+++ b/crates/distribution/src/subscriber/sources.rs
@@ -68,25 +68,25 @@
     }
 
     /// Sets the longest pause.
-    pub fn set_max_backoff(&mut self, longest: Duration) {
-        self.max_backoff = longest;
+    pub fn set_max_backoff(&mut self, max_backoff: Duration) {
+        self.max_backoff = max_backoff;
     }
 
     /// The current source has sent something.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.backoff = INITIAL_BACKOFF;
     }
 
     /// An event of the current source was applied: its history is the own one.
-    pub fn agreed(&mut self) {
+    pub fn record_agreement(&mut self) {
         self.disagreeing.clear();
         self.disagreements = 0;
     }
 
     /// The current source has another history. All are dialled in turn meanwhile, and one that agrees begins the count
     /// anew.
-    pub fn disagreed(&mut self) -> Disagreement {
+    pub fn record_disagreement(&mut self) -> Disagreement {
         self.disagreeing.insert(self.current);
         self.disagreements += 1;
         let refusal_limit = DISAGREEMENTS_PER_SOURCE * self.addresses.len();
@@ -105,21 +105,21 @@
     }
 
     /// Goes on to the next source. Returns when it is to be dialled.
-    pub fn fail(&mut self, now: MonotonicTime) -> MonotonicTime {
+    pub fn advance_after_failure(&mut self, now: MonotonicTime) -> MonotonicTime {
         let count = self.addresses.len().max(1);
         self.failures += 1;
-        let pause = if self.failures < count { self.jitter(FAILOVER_JITTER) } else { self.back_off() };
+        let pause = if self.failures < count { self.jitter(FAILOVER_JITTER) } else { self.next_backoff() };
         let earliest = now + pause;
         let rotation = (1..=count).map(|step| (self.current + step) % count);
-        let due = |index: &usize| self.not_before.get(*index).copied().unwrap_or(earliest).max(earliest);
+        let dial_at = |index: &usize| self.not_before.get(*index).copied().unwrap_or(earliest).max(earliest);
         // The first in the order of all that are allowed then; the first that will be, if none is.
-        let next = rotation.min_by_key(due).unwrap_or(0);
+        let next = rotation.min_by_key(dial_at).unwrap_or(0);
         self.current = next;
-        due(&next)
+        dial_at(&next)
     }
 
-    /// The pause, doubled each time; with others to fail over to, a random part of it is left out.
-    fn back_off(&mut self) -> Duration {
+    /// The pause, doubled each time; with others to advance_after_failure over to, a random part of it is left out.
+    fn next_backoff(&mut self) -> Duration {
         let pause = self.backoff.min(self.max_backoff);
         self.backoff = pause * 2;
         match self.addresses.len() {
--- a/crates/distribution/src/subscriber/stream.rs
+++ b/crates/distribution/src/subscriber/stream.rs
@@ -1,5 +1,5 @@
 //! What comes from the source: which events are applied, what is missing, and how old the state is.
-use super::link::{Connection, KnownEvent};
+use super::link::{Connection, ReferenceEvent};
 use super::messages::{EventMetadata, GapReason, LeaveReason, Output, SourceKind};
 use super::{Subscriber, SILENCE_TIMEOUT};
 use crate::batch::parse_heartbeat;
@@ -8,10 +8,10 @@
 
 impl Subscriber {
     /// Bytes came in on the connection.
-    pub(super) fn take_bytes(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
+    pub(super) fn handle_bytes(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         let Some(connection) = self.link.connection_mut() else { return };
         connection.silent_at = now + SILENCE_TIMEOUT;
-        self.sources.succeeded();
+        self.sources.record_success();
         // Until the histories are compared, a source may be another one than before.
         if self.settings.kind == SourceKind::Plain && connection.overlap.is_none() {
             out.push(Output::SourceAlive(now));
@@ -19,7 +19,7 @@
     }
 
     /// A comment: from a relay a heartbeat, which comes when all events before it have.
-    pub(super) fn take_comment(&mut self, now: MonotonicTime, text: &str, out: &mut Vec<Output>) {
+    pub(super) fn handle_comment(&mut self, now: MonotonicTime, text: &str, out: &mut Vec<Output>) {
         let Some(connection) = self.link.connection_mut() else { return };
         if connection.overlap.is_some() {
             return;
@@ -36,21 +36,21 @@
         // A clock that is ahead says no more than that the source is alive now; later heartbeats count from there.
         connection.clock_lead = connection.clock_lead.max(alive_at.saturating_since(now));
         let alive_at = alive_at.saturating_sub(connection.clock_lead);
-        self.source_alive_at = Some(self.source_alive_at.map_or(alive_at, |known| known.max(alive_at)));
+        self.source_alive_at = Some(self.source_alive_at.map_or(alive_at, |previous| previous.max(alive_at)));
         out.push(Output::SourceAlive(alive_at));
     }
 
     /// An event in the order of the stream.
-    pub(super) fn take_event(&mut self, now: MonotonicTime, event: EventMetadata, out: &mut Vec<Output>) {
+    pub(super) fn handle_event(&mut self, now: MonotonicTime, event: EventMetadata, out: &mut Vec<Output>) {
         let Some(connection) = self.link.connection_mut() else { return };
         let before = *connection;
         connection.has_events = true;
         let readable = event.number.filter(|number| *number <= MAX_EVENT_NUMBER);
-        let Some(number) = readable else { return self.take_unreadable(now, out) };
+        let Some(number) = readable else { return self.handle_unreadable(now, out) };
         let may_be_snapshot = self.may_be_snapshot(&before, event, number);
         // The text of a relay's snapshot is its own, and says nothing about the history.
         let digest = event.digest.filter(|_| !may_be_snapshot);
-        if self.contradicts(number, digest) {
+        if self.has_different_digest(number, digest) {
             return self.reject_history(now, LeaveReason::OtherHistory, out);
         }
         // A relay that no longer has what was requested begins with a snapshot. It may stand for the very next number,
@@ -63,7 +63,7 @@
             return self.confirm_overlap(number);
         }
         let is_missing = number != self.cursor + 1 || before.overlap.is_some();
-        if is_missing && !is_snapshot && self.try_once_more() {
+        if is_missing && !is_snapshot && self.begin_retry() {
             return self.fail_over(now, LeaveReason::EventMissing, out);
         }
         if is_missing || is_snapshot {
@@ -81,15 +81,16 @@
     }
 
     /// Whether the event differs from the one of the same number by which the own history is known.
-    fn contradicts(&self, number: EventNumber, digest: Option<u64>) -> bool {
-        let same_number = self.known.filter(|known| self.settings.verify && known.number == number);
-        same_number.is_some_and(|known| digest.is_some_and(|digest| digest != known.digest))
+    fn has_different_digest(&self, number: EventNumber, digest: Option<u64>) -> bool {
+        let same_number =
+            self.reference_event.filter(|reference| self.settings.verify && reference.number == number);
+        same_number.is_some_and(|reference| digest.is_some_and(|digest| digest != reference.digest))
     }
 
     /// An event that was applied before: it may be the one that a plain source was to repeat.
     fn confirm_overlap(&mut self, number: EventNumber) {
         if let Some(connection) = self.link.connection_mut() {
-            connection.overlap = connection.overlap.filter(|overlap| overlap.known.number != number);
+            connection.overlap = connection.overlap.filter(|overlap| overlap.event.number != number);
         }
     }
 
@@ -97,18 +98,18 @@
         if let Some(connection) = self.link.connection_mut() {
             connection.overlap = None;
         }
-        self.sources.agreed();
+        self.sources.record_agreement();
         self.cursor = number;
         if let Some(digest) = digest {
-            self.known = Some(KnownEvent { number, digest });
+            self.reference_event = Some(ReferenceEvent { number, digest });
         }
         out.push(Output::Apply(number));
     }
 
     /// Danger: an event that can't be read may be a purge. If it comes no better the second time, it stays so however
     /// often it is requested, and the others must not wait for it.
-    fn take_unreadable(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
-        if self.try_once_more() {
+    fn handle_unreadable(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
+        if self.begin_retry() {
             return self.fail_over(now, LeaveReason::EventUnreadable, out);
         }
         self.gaps += 1;
@@ -116,7 +117,7 @@
     }
 
     /// Whether what follows the cursor is to be requested once more: it has not been yet.
-    fn try_once_more(&mut self) -> bool {
+    fn begin_retry(&mut self) -> bool {
         self.retried_cursor.replace(self.cursor) != Some(self.cursor)
     }
 
@@ -124,7 +125,7 @@
     pub(super) fn report_gap(&mut self, reason: GapReason, out: &mut Vec<Output>) {
         self.gaps += 1;
         // Across a gap the digest of before says nothing of what is applied after it.
-        self.known = None;
+        self.reference_event = None;
         out.push(Output::Gap { after: self.cursor, reason });
     }
 }
