--- a/crates/distribution/src/configuration/gateway.rs
+++ b/crates/distribution/src/configuration/gateway.rs
@@ -1,6 +1,6 @@
 //! The documents of one gateway: what events have brought, what is in force, and what it cannot apply.
 use super::{
-    Document, DocumentId, DocumentTable, DocumentVersion, DocumentsEvent, HeldDocument, TableChange,
+    Document, DocumentId, DocumentTable, DocumentVersion, DocumentsEvent, StoredDocument, TableChange,
 };
 use crate::event_number::{EventNumber, ListKind};
 use std::collections::{BTreeMap, BTreeSet};
@@ -69,7 +69,7 @@
     /// Whether versions were ignored that are not remembered, or documents could not be read.
     ignored_omitted: bool,
     /// The last event with documents.
-    last: EventNumber,
+    last_documents_event: EventNumber,
 }
 
 impl GatewayDocuments {
@@ -84,20 +84,20 @@
             rejected: BTreeMap::new(),
             ignored: BTreeMap::new(),
             ignored_omitted: false,
-            last: 0,
+            last_documents_event: 0,
         }
     }
 
     /// Takes in the documents of the next event. Returns what has to be tried, if anything.
     pub fn handle(&mut self, number: EventNumber, event: DocumentsEvent) -> Option<Candidate> {
-        self.last = number;
+        self.last_documents_event = number;
         if event.kind == ListKind::Full {
             self.ignored.clear();
             self.ignored_omitted = false;
         }
         let TableChange { changed, ignored } = self.table.apply(number, event);
-        changed.iter().for_each(|id| self.mark_changed(id));
-        ignored.into_iter().for_each(|held| self.record_ignored(held));
+        changed.iter().for_each(|id| self.mark_unsettled(id));
+        ignored.into_iter().for_each(|stored| self.record_ignored(stored));
         self.candidate()
     }
 
@@ -143,7 +143,8 @@
     ) -> Option<Candidate> {
         let at_fault = fault.and_then(|id| candidate.changes.iter().find(|change| change.id == *id));
         let number = at_fault.map(|change| change.number);
-        let rejected = candidate.changes.iter().filter(|change| number.is_none_or(|n| n == change.number));
+        let rejected =
+            candidate.changes.iter().filter(|change| number.is_none_or(|event| event == change.number));
         for change in rejected {
             if self.wanted_change(&change.id) == *change {
                 self.record_rejected(change, reason);
@@ -193,22 +194,22 @@
     }
 
     /// A document has another version. If the one before was rejected, what came with that is tried again.
-    fn mark_changed(&mut self, id: &DocumentId) {
+    fn mark_unsettled(&mut self, id: &DocumentId) {
         self.ignored.remove(id);
         self.unsettled.insert(id.clone());
         let Some(rejection) = self.rejected.remove(id) else { return };
-        let together = self.rejected.extract_if(.., |_, other| other.number == rejection.number);
-        self.unsettled.extend(together.map(|(other, _)| other));
+        let same_event = self.rejected.extract_if(.., |_, other| other.number == rejection.number);
+        self.unsettled.extend(same_event.map(|(other, _)| other));
     }
 
-    fn record_ignored(&mut self, held: HeldDocument) {
-        if self.ignored.len() >= MAX_IGNORED && !self.ignored.contains_key(&held.document.id) {
+    fn record_ignored(&mut self, stored: StoredDocument) {
+        if self.ignored.len() >= MAX_IGNORED && !self.ignored.contains_key(&stored.document.id) {
             self.ignored_omitted = true;
             return;
         }
-        let Document { id, version, .. } = held.document;
+        let Document { id, version, .. } = stored.document;
         let reason = IGNORED_REASON.to_string();
-        self.ignored.insert(id.clone(), Rejection { id, version, reason, number: held.number });
+        self.ignored.insert(id.clone(), Rejection { id, version, reason, number: stored.number });
     }
 
     fn record_rejected(&mut self, change: &DocumentChange, reason: &str) {
@@ -221,13 +222,13 @@
 
     /// What is wanted of a document.
     fn wanted_change(&self, id: &DocumentId) -> DocumentChange {
-        let held = self.table.version_for(id, &self.name, &self.zone);
-        let document = held.map(|held| &held.document).filter(|document| document.content.is_some());
+        let stored = self.table.version_for(id, &self.name, &self.zone);
+        let document = stored.map(|stored| &stored.document).filter(|document| document.content.is_some());
         DocumentChange {
             id: id.clone(),
-            version: held.map(|held| held.document.version).unwrap_or_default(),
+            version: stored.map(|stored| stored.document.version).unwrap_or_default(),
             document: document.cloned(),
-            number: held.map_or(self.last, |held| held.number),
+            number: stored.map_or(self.last_documents_event, |stored| stored.number),
         }
     }
 
@@ -238,7 +239,7 @@
             let change = self.wanted_change(&id);
             match (self.in_force.get_mut(&id), &change.document) {
                 (None, None) => {}
-                (Some(current), Some(wanted)) if current.has_content_of(wanted) => *current = wanted.clone(),
+                (Some(current), Some(wanted)) if current.same_content_as(wanted) => *current = wanted.clone(),
                 _ => {
                     self.unsettled.insert(id);
                     changes.push(change);
--- a/crates/distribution/src/configuration/rejections.rs
+++ b/crates/distribution/src/configuration/rejections.rs
@@ -45,7 +45,7 @@
     }
 
     /// Cuts what is past a bound.
-    pub(super) fn bound(&mut self, gateways: u64) {
+    pub(super) fn truncate_to_bounds(&mut self, gateways: u64) {
         self.gateways = self.gateways.min(gateways);
         self.reason.truncate(self.reason.floor_char_boundary(MAX_REASON_BYTES));
         self.names.truncate(MAX_REJECTING_GATEWAYS);
@@ -55,7 +55,7 @@
     }
 
     /// Whether it concerns this version of this document.
-    pub fn is_of(&self, id: &DocumentId, version: DocumentVersion) -> bool {
+    pub fn matches(&self, id: &DocumentId, version: DocumentVersion) -> bool {
         self.id == *id && self.version == version
     }
 }
--- a/crates/distribution/src/relay/encoder.rs
+++ b/crates/distribution/src/relay/encoder.rs
@@ -12,7 +12,7 @@
 
 /// Which form of the same events a piece holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct PieceKey {
+pub(super) struct PieceFormat {
     /// None for the unfiltered list, and for pieces without list events, which all scopes share.
     pub scope: Option<ScopeIndex>,
     pub encoding: Encoding,
@@ -25,20 +25,20 @@
     /// None for an event that a later one has replaced.
     pub data: Option<Arc<str>>,
     /// Whether it carries stores.
-    pub is_list: bool,
+    pub has_stores: bool,
 }
 
 impl OutgoingEvent {
     /// An event that no later one has replaced.
     pub(super) fn of_event(event: &Event) -> OutgoingEvent {
-        OutgoingEvent { number: event.number, data: Some(event.data.clone()), is_list: event.is_list() }
+        OutgoingEvent { number: event.number, data: Some(event.data.clone()), has_stores: event.has_stores() }
     }
 
     /// The event of this number in the log.
     pub(super) fn of_entry(number: EventNumber, entry: LogEntry<'_>) -> OutgoingEvent {
         match entry {
             LogEntry::Current(event) => OutgoingEvent::of_event(event),
-            LogEntry::Replaced => OutgoingEvent { number, data: None, is_list: false },
+            LogEntry::Replaced => OutgoingEvent { number, data: None, has_stores: false },
         }
     }
 
@@ -92,16 +92,16 @@
         &mut self,
         events: &[OutgoingEvent],
         source_alive_at: Option<UnixMicros>,
-        key: PieceKey,
+        format: PieceFormat,
     ) -> Arc<[u8]> {
         let mut text = String::new();
         for event in events {
-            write_event(&mut text, event.number, &self.data(event, key.scope));
+            write_event(&mut text, event.number, &self.data(event, format.scope));
         }
         if let Some(source_alive_at) = source_alive_at {
             write_heartbeat(&mut text, source_alive_at);
         }
-        self.encode_text(&text, key.encoding)
+        self.encode_text(&text, format.encoding)
     }
 
     /// Encodes one event under its data.
@@ -114,7 +114,7 @@
     fn data(&self, event: &OutgoingEvent, scope: Option<ScopeIndex>) -> Arc<str> {
         match (&event.data, scope) {
             (None, _) => placeholder(event.number).into(),
-            (Some(data), Some(scope)) if event.is_list => {
+            (Some(data), Some(scope)) if event.has_stores => {
                 self.scopes[scope].filter(event.number, data).into()
             }
             (Some(data), _) => data.clone(),
--- a/crates/distribution/src/relay/upstream.rs
+++ b/crates/distribution/src/relay/upstream.rs
@@ -11,12 +11,12 @@
 
 impl Relay {
     /// The next event from upstream.
-    pub(super) fn take_event(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
+    pub(super) fn handle_event(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
         let outgoing = OutgoingEvent::of_event(&event);
         match self.log.append(event.clone()) {
             Ok(Appended::Stored { .. }) => self.add_to_batch(now, outgoing, out),
             Ok(Appended::Duplicate) => {}
-            Err(AppendError::Gap { .. }) => self.take_gap(now, event, out),
+            Err(AppendError::Gap { .. }) => self.handle_gap(now, event, out),
             Err(AppendError::OtherHistory { number }) => {
                 self.stop_serving(now, HistoryMismatch::EventDiffers { number }, out);
             }
@@ -24,7 +24,7 @@
     }
 
     /// A heartbeat from upstream, which comes only when all events before it have.
-    pub(super) fn take_heartbeat(
+    pub(super) fn handle_heartbeat(
         &mut self,
         now: MonotonicTime,
         source_alive_at: UnixMicros,
@@ -37,10 +37,10 @@
     }
 
     /// The first event after a gap. Subscribers see the same jump of numbers, which is their floor (E1).
-    pub(super) fn take_gap(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
+    pub(super) fn handle_gap(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
         let last = self.log.last();
         if event.number <= last {
-            self.stop_serving(now, HistoryMismatch::WentBack { last, received: event.number }, out);
+            self.stop_serving(now, HistoryMismatch::NumberDecreased { last, received: event.number }, out);
         } else if event.number == last + 1 {
             self.disconnect_all(now, DisconnectReason::HiddenGap, out);
         }
@@ -87,13 +87,13 @@
     /// Seals the open batch, if there is anything in it.
     pub(super) fn seal(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         if self.ring.seal(now) == BatchState::Sealed {
-            out.push(Output::Ready);
+            out.push(Output::BatchSealed);
         }
     }
 
     fn add_to_batch(&mut self, now: MonotonicTime, event: OutgoingEvent, out: &mut Vec<Output>) {
         if self.ring.add(now, event) == BatchState::Sealed {
-            out.push(Output::Ready);
+            out.push(Output::BatchSealed);
         }
     }
 }
