--- a/gateway/src/clock/mod.rs
+++ b/gateway/src/clock/mod.rs
@@ -20,13 +20,13 @@
 const MICROS_PER_SECOND: u64 = 1_000_000;
 /// How far the clocks of two processes may differ without one taking the other's over: what a message between them and
 /// the readings take.
-const SAME_CLOCK: Duration = Duration::from_secs(1);
+const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
 /// The least time of the monotonic clock: a year. Code subtracts spans from the current time.
 const MIN_MONOTONIC: MonotonicTime = MonotonicTime::from_micros(365 * 24 * 3600 * MICROS_PER_SECOND);
 /// Readings of both clocks at most until a pair is close.
 const MAX_READINGS: usize = 5;
 /// µs between the two readings of a close pair.
-const CLOSE_PAIR: u128 = 1000;
+const CLOSE_PAIR_MICROS: u128 = 1000;
 
 /// The start of the process, by both clocks.
 struct ProcessStart {
@@ -46,7 +46,7 @@
             if closest.as_ref().is_none_or(|(least, _)| distance < *least) {
                 closest = Some((distance, ProcessStart { steady: before, unix }));
             }
-            if distance <= CLOSE_PAIR {
+            if distance <= CLOSE_PAIR_MICROS {
                 break;
             }
         }
@@ -100,9 +100,9 @@
 /// second, so that a time that is written and read again is the same to the microsecond.
 fn steady_unix(now: MonotonicTime, unix: UnixMicros, start: Anchor) -> UnixMicros {
     let expected = start.to_unix(now).as_micros();
-    let half = MICROS_PER_SECOND / 2;
-    let stepped =
-        unix.as_micros().abs_diff(expected).saturating_add(half) / MICROS_PER_SECOND * MICROS_PER_SECOND;
+    let half_second = MICROS_PER_SECOND / 2;
+    let stepped = unix.as_micros().abs_diff(expected).saturating_add(half_second) / MICROS_PER_SECOND
+        * MICROS_PER_SECOND;
     let steady = match unix.as_micros() > expected {
         true => expected.saturating_add(stepped),
         false => expected.saturating_sub(stepped),
@@ -123,7 +123,7 @@
 /// µs by which a clock is adjusted to continue that of an earlier process. Danger: a time that lies ahead of the own
 /// clock breaks whatever subtracts it from now, so the clock is never behind that of the earlier process.
 fn adjustment(own: MonotonicTime, earlier_process: MonotonicTime) -> i64 {
-    if earlier_process <= own && own - earlier_process <= SAME_CLOCK {
+    if earlier_process <= own && own - earlier_process <= CLOCK_TOLERANCE {
         return 0;
     }
     let difference = i64::try_from(own.as_micros().abs_diff(earlier_process.as_micros())).unwrap_or(0);
--- a/gateway/src/clock/start_dates.rs
+++ b/gateway/src/clock/start_dates.rs
@@ -10,7 +10,7 @@
 use tracing::info;
 
 /// How much two sources may differ in when a process started.
-const SAME_START: Duration = Duration::from_secs(1);
+const START_TOLERANCE: Duration = Duration::from_secs(1);
 /// Starts that are remembered at most. At the bound the earliest one is forgotten.
 const MAX_STARTS: usize = 20_000;
 /// Ages up to which starts are logged.
@@ -35,7 +35,7 @@
 
 impl StartDates {
     /// Dates the starts of the entries of a list, or of a change of it.
-    pub fn date(&mut self, now: MonotonicTime, scope: ListScope, entries: &mut [Endpoint]) {
+    pub fn date_entries(&mut self, now: MonotonicTime, scope: ListScope, entries: &mut [Endpoint]) {
         if scope.is_complete() {
             let named: BTreeSet<ServerId> = entries.iter().map(|entry| entry.host.server).collect();
             self.by_server.retain(|server, _| named.contains(server));
@@ -52,7 +52,7 @@
     fn date_entry(&mut self, now: MonotonicTime, entry: &Endpoint, listed: MonotonicTime) -> MonotonicTime {
         let server = entry.host.server;
         let known = self.by_server.get(&server);
-        if let Some(known) = known.filter(|known| listed <= known.listed.saturating_add(SAME_START)) {
+        if let Some(known) = known.filter(|known| listed <= known.listed.saturating_add(START_TOLERANCE)) {
             return known.dated;
         }
         // Danger: by a wall clock that is ahead, a store that has just started would count as warm.
@@ -82,7 +82,7 @@
 
     /// Others have reported times, by which the own clock is fast by so much at most. Returns the starts that turn out
     /// to be earlier: none where the bound has not come down to half, so that each report does not cost a walk.
-    pub fn bound_clock(&mut self, max_fast: Option<Duration>) -> Vec<DatedStart> {
+    pub fn lower_max_fast(&mut self, max_fast: Option<Duration>) -> Vec<DatedStart> {
         let is_lower = match (max_fast, self.max_fast) {
             (None, _) => false,
             (Some(_), None) => true,
@@ -110,7 +110,7 @@
         let mut earlier = Vec::new();
         for other in others {
             let Some(start) = self.by_server.get_mut(&other.server) else { continue };
-            let is_same = start.listed <= other.started.saturating_add(SAME_START);
+            let is_same = start.listed <= other.started.saturating_add(START_TOLERANCE);
             if is_same && other.started < start.dated {
                 start.dated = other.started;
                 earlier.push(other);
--- a/gateway/src/clock/start_dates/tests.rs
+++ b/gateway/src/clock/start_dates/tests.rs
@@ -11,67 +11,67 @@
 }
 
 /// The start of a store as it is dated, by a change of the list.
-fn dated(
+fn date_start(
     dates: &mut StartDates,
     now: MonotonicTime,
     server: ServerId,
     listed: MonotonicTime,
 ) -> MonotonicTime {
     let mut entries = [entry(server, listed)];
-    dates.date(now, ListScope::Changes, &mut entries);
+    dates.date_entries(now, ListScope::Changes, &mut entries);
     entries[0].host.started
 }
 
-fn bounded(max_fast: Duration) -> StartDates {
+fn dates_with_max_fast(max_fast: Duration) -> StartDates {
     let mut dates = StartDates::default();
-    dates.bound_clock(Some(max_fast));
+    dates.lower_max_fast(Some(max_fast));
     dates
 }
 
 /// By a clock that is an hour fast, what started a second ago seems to have started an hour ago.
 #[test]
 fn no_start_is_dated_earlier_than_the_reports_of_others_allow() {
-    let mut dates = bounded(HOUR + SECOND);
-    assert_eq!(dated(&mut dates, NOW, 1, NOW - HOUR - SECOND), NOW, "it is the latest report itself");
-    assert_eq!(dated(&mut dates, NOW, 2, NOW - HOUR - 9 * SECOND), NOW - 8 * SECOND);
-    assert_eq!(dated(&mut StartDates::default(), NOW, 1, NOW - HOUR), NOW, "nothing was reported");
+    let mut dates = dates_with_max_fast(HOUR + SECOND);
+    assert_eq!(date_start(&mut dates, NOW, 1, NOW - HOUR - SECOND), NOW, "it is the latest report itself");
+    assert_eq!(date_start(&mut dates, NOW, 2, NOW - HOUR - 9 * SECOND), NOW - 8 * SECOND);
+    assert_eq!(date_start(&mut StartDates::default(), NOW, 1, NOW - HOUR), NOW, "nothing was reported");
 }
 
 #[test]
 fn a_start_that_is_not_stated_stays_unset() {
     let long_ago = Host::STARTED_LONG_AGO;
-    assert_eq!(dated(&mut StartDates::default(), NOW, 1, long_ago), long_ago);
+    assert_eq!(date_start(&mut StartDates::default(), NOW, 1, long_ago), long_ago);
 }
 
 #[test]
 fn a_start_is_dated_once_however_often_it_is_listed() {
-    let mut dates = bounded(HOUR);
+    let mut dates = dates_with_max_fast(HOUR);
     let listed = NOW - HOUR;
-    let first = dated(&mut dates, NOW, 1, listed);
+    let first = date_start(&mut dates, NOW, 1, listed);
     for (later, listed) in [(5, listed), (10, listed + SECOND / 2), (15, listed - 600 * SECOND)] {
-        assert_eq!(dated(&mut dates, NOW + later * SECOND, 1, listed), first, "listed as {listed:?}");
+        assert_eq!(date_start(&mut dates, NOW + later * SECOND, 1, listed), first, "listed as {listed:?}");
     }
-    let restarted = dated(&mut dates, NOW + 20 * SECOND, 1, listed + 19 * SECOND);
+    let restarted = date_start(&mut dates, NOW + 20 * SECOND, 1, listed + 19 * SECOND);
     assert_eq!(restarted, NOW + 19 * SECOND, "another process");
 }
 
 #[test]
 fn later_reports_show_that_starts_were_earlier() {
-    let mut dates = bounded(HOUR);
-    assert_eq!(dated(&mut dates, NOW, 1, NOW - HOUR), NOW);
-    assert_eq!(dates.bound_clock(Some(HOUR - SECOND)), Vec::new(), "too little to walk over all");
+    let mut dates = dates_with_max_fast(HOUR);
+    assert_eq!(date_start(&mut dates, NOW, 1, NOW - HOUR), NOW);
+    assert_eq!(dates.lower_max_fast(Some(HOUR - SECOND)), Vec::new(), "too little to walk over all");
     let earlier = vec![DatedStart { server: 1, started: NOW - HOUR + SECOND }];
-    assert_eq!(dates.bound_clock(Some(SECOND)), earlier);
-    assert_eq!(dates.bound_clock(Some(SECOND)), Vec::new());
-    assert_eq!(dates.bound_clock(None), Vec::new());
-    assert_eq!(dated(&mut dates, NOW + SECOND, 1, NOW - HOUR), NOW - HOUR + SECOND);
+    assert_eq!(dates.lower_max_fast(Some(SECOND)), earlier);
+    assert_eq!(dates.lower_max_fast(Some(SECOND)), Vec::new());
+    assert_eq!(dates.lower_max_fast(None), Vec::new());
+    assert_eq!(date_start(&mut dates, NOW + SECOND, 1, NOW - HOUR), NOW - HOUR + SECOND);
 }
 
 #[test]
 fn another_process_of_the_gateway_may_know_that_a_start_was_earlier() {
-    let mut dates = bounded(HOUR);
+    let mut dates = dates_with_max_fast(HOUR);
     let listed = NOW - HOUR;
-    dated(&mut dates, NOW, 1, listed);
+    date_start(&mut dates, NOW, 1, listed);
     let other = |started| [DatedStart { server: 1, started }].into_iter();
     assert_eq!(
         dates.take_over(other(listed - 2 * SECOND)),
@@ -80,20 +80,20 @@
     );
     assert_eq!(dates.take_over(other(NOW + SECOND)), Vec::new(), "it knows less");
     assert_eq!(dates.take_over(other(listed + SECOND)).len(), 1);
-    assert_eq!(dated(&mut dates, NOW, 1, listed), listed + SECOND);
+    assert_eq!(date_start(&mut dates, NOW, 1, listed), listed + SECOND);
 }
 
 #[test]
 fn starts_are_bounded_and_forgotten_with_their_stores() {
-    let mut dates = bounded(Duration::ZERO);
+    let mut dates = dates_with_max_fast(Duration::ZERO);
     for server in 0..MAX_STARTS as u64 + 10 {
-        dated(&mut dates, NOW, server, NOW - HOUR - Duration::from_micros(server));
+        date_start(&mut dates, NOW, server, NOW - HOUR - Duration::from_micros(server));
     }
     assert_eq!(dates.by_server.len(), MAX_STARTS);
-    dates.date(NOW, ListScope::Complete, &mut [entry(3, NOW - SECOND)]);
+    dates.date_entries(NOW, ListScope::Complete, &mut [entry(3, NOW - SECOND)]);
     assert_eq!(dates.by_server.len(), 1);
     let mut removed = entry(3, NOW - SECOND);
     removed.host.state = State::Removed;
-    dates.date(NOW, ListScope::Changes, &mut [removed]);
+    dates.date_entries(NOW, ListScope::Changes, &mut [removed]);
     assert_eq!(dates.by_server.len(), 0);
 }
--- a/gateway/src/clock/wire/clock_error.rs
+++ b/gateway/src/clock/wire/clock_error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ClockError {
     /// How far the latest reported time lies behind the own clock, at least; none before one was reported.
-    behind: Option<Duration>,
+    min_lag: Option<Duration>,
     /// How far times of the source of events lie ahead of the own clock: the own clock is slow by that much.
     slow_by: Duration,
 }
@@ -14,8 +14,8 @@
 impl ClockError {
     /// Observes a time that was reported as past: the present is no earlier.
     pub(super) fn observe(&mut self, now: MonotonicTime, reported: MonotonicTime) {
-        let behind = now.saturating_since(reported);
-        self.behind = Some(self.behind.map_or(behind, |least| least.min(behind)));
+        let lag = now.saturating_since(reported);
+        self.min_lag = Some(self.min_lag.map_or(lag, |least| least.min(lag)));
     }
 
     /// Observes a time that the source of events reports, whose clock is that of the fleet.
@@ -27,7 +27,7 @@
     /// How far the own clock may be fast, at most: nothing that others report lies in the future. None before a time
     /// was reported.
     pub(super) fn max_fast(&self) -> Option<Duration> {
-        self.behind
+        self.min_lag
     }
 
     /// The latest time that other machines may report as the present.
@@ -39,8 +39,8 @@
     /// may be fast, and ages count from the latest reported time.
     pub(super) fn min_age(&self, now: MonotonicTime, reported: MonotonicTime) -> Duration {
         let age = now.saturating_since(reported);
-        match self.behind {
-            Some(behind) if behind > super::SAME_CLOCK => age.saturating_sub(behind),
+        match self.min_lag {
+            Some(lag) if lag > super::CLOCK_TOLERANCE => age.saturating_sub(lag),
             _ => age,
         }
     }
--- a/gateway/src/clock/wire/mod.rs
+++ b/gateway/src/clock/wire/mod.rs
@@ -19,7 +19,7 @@
 use store_starts::StoreStarts;
 
 /// How far clocks may differ that count as the same: a time reported as that far in the future counts as present.
-const SAME_CLOCK: Duration = Duration::from_secs(1);
+const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// When the origin issued a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -128,7 +128,7 @@
         reported: UnixMicros,
         arrival: Arrival,
     ) -> MonotonicTime {
-        if let Some(started_at) = self.starts.known(server, reported) {
+        if let Some(started_at) = self.starts.find(server, reported) {
             return started_at.min(now);
         }
         let reported_at = self.anchor.to_monotonic(reported);
@@ -149,7 +149,7 @@
         }
         let issued = self.anchor.to_monotonic(issued);
         let latest = self.latest(now);
-        if issued > latest.saturating_add(SAME_CLOCK) {
+        if issued > latest.saturating_add(CLOCK_TOLERANCE) {
             return None;
         }
         self.clock_error.observe(now, issued);
--- a/gateway/src/clock/wire/store_starts.rs
+++ b/gateway/src/clock/wire/store_starts.rs
@@ -1,5 +1,5 @@
 //! The starts of the listed stores' processes.
-use super::SAME_CLOCK;
+use super::CLOCK_TOLERANCE;
 use larchway::{duration_micros, MonotonicTime, ServerId};
 use larchway_unix_time::{Anchor, UnixMicros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,9 +32,9 @@
 
 impl StoreStarts {
     /// The start of a store's process on the monotonic clock, if one that was reported before is the same.
-    pub(super) fn known(&self, server: ServerId, reported: UnixMicros) -> Option<MonotonicTime> {
+    pub(super) fn find(&self, server: ServerId, reported: UnixMicros) -> Option<MonotonicTime> {
         let known = self.0.get(&server)?;
-        let same_until = known.reported.as_micros().saturating_add(duration_micros(SAME_CLOCK));
+        let same_until = known.reported.as_micros().saturating_add(duration_micros(CLOCK_TOLERANCE));
         (reported.as_micros() <= same_until).then(|| known.adjusted_to(reported))
     }
 
--- a/gateway/src/clock/wire/tests.rs
+++ b/gateway/src/clock/wire/tests.rs
@@ -7,17 +7,17 @@
 const NOW: MonotonicTime = MonotonicTime::from_micros(500_000 * duration_micros(HOUR));
 
 /// A Unix time a span before `now` on a clock that is right.
-fn before(now: MonotonicTime, age: Duration) -> UnixMicros {
+fn unix_before(now: MonotonicTime, age: Duration) -> UnixMicros {
     UnixMicros::from_micros((now - age).as_micros())
 }
 
 /// The times of a gateway whose own Unix clock is fast or slow by so much.
-fn fast(by: Duration) -> WireTimes {
+fn fast_clock(by: Duration) -> WireTimes {
     let unix = UnixMicros::from_micros((NOW + by).as_micros());
     WireTimes { anchor: Anchor { monotonic: NOW, unix }, ..WireTimes::default() }
 }
 
-fn slow(by: Duration) -> WireTimes {
+fn slow_clock(by: Duration) -> WireTimes {
     let unix = UnixMicros::from_micros((NOW - by).as_micros());
     WireTimes { anchor: Anchor { monotonic: NOW, unix }, ..WireTimes::default() }
 }
@@ -49,47 +49,55 @@
 
 #[test]
 fn with_a_correct_clock_each_age_is_exact() {
-    let mut times = fast(Duration::ZERO);
-    endpoint_start(&mut times, NOW, ListScope::Complete, listed(1, before(NOW, Duration::from_millis(500))));
-    assert_eq!(purge_age(&mut times, NOW, before(NOW, 4 * SECOND)), 4 * SECOND);
+    let mut times = fast_clock(Duration::ZERO);
+    endpoint_start(
+        &mut times,
+        NOW,
+        ListScope::Complete,
+        listed(1, unix_before(NOW, Duration::from_millis(500))),
+    );
+    assert_eq!(purge_age(&mut times, NOW, unix_before(NOW, 4 * SECOND)), 4 * SECOND);
     assert_eq!(
-        endpoint_start(&mut times, NOW, ListScope::Changes, listed(2, before(NOW, 3 * SECOND))),
+        endpoint_start(&mut times, NOW, ListScope::Changes, listed(2, unix_before(NOW, 3 * SECOND))),
         NOW - 3 * SECOND
     );
-    let copy = times.copy(NOW, before(NOW, HOUR)).expect("it has a time");
+    let copy = times.copy(NOW, unix_before(NOW, HOUR)).expect("it has a time");
     assert_eq!(copy, CopyTimes { issued: NOW - HOUR, issued_local: NOW - HOUR });
 }
 
 #[test]
 fn the_age_of_a_purge_is_never_overestimated() {
-    let mut times = fast(HOUR);
+    let mut times = fast_clock(HOUR);
     assert_eq!(
-        purge_age(&mut times, NOW, before(NOW, Duration::from_millis(50))),
+        purge_age(&mut times, NOW, unix_before(NOW, Duration::from_millis(50))),
         Duration::ZERO,
         "nothing later was reported yet"
     );
     let later = NOW + 10 * SECOND;
     assert_eq!(
-        purge_age(&mut times, later, before(later, Duration::from_millis(80))),
+        purge_age(&mut times, later, unix_before(later, Duration::from_millis(80))),
         Duration::from_millis(30),
         "the first was 50 ms old at least"
     );
-    assert_eq!(purge_age(&mut slow(HOUR), NOW, before(NOW, Duration::from_millis(50))), Duration::ZERO);
+    assert_eq!(
+        purge_age(&mut slow_clock(HOUR), NOW, unix_before(NOW, Duration::from_millis(50))),
+        Duration::ZERO
+    );
 }
 
 /// Wrong by an hour either way: a reported start makes the store warm up from then on, and once.
 #[test]
 fn a_store_reported_as_started_warms_up_from_the_report_at_the_latest() {
-    for mut times in [fast(HOUR), slow(HOUR)] {
-        endpoint_start(&mut times, NOW, ListScope::Complete, listed(1, before(NOW, 20 * HOUR)));
-        let news = NOW + 100 * SECOND;
-        let start = before(news, 2 * SECOND);
-        let started = endpoint_start(&mut times, news, ListScope::Changes, listed(1, start));
-        assert!((news - 2 * SECOND..=news).contains(&started), "{started:?}");
+    for mut times in [fast_clock(HOUR), slow_clock(HOUR)] {
+        endpoint_start(&mut times, NOW, ListScope::Complete, listed(1, unix_before(NOW, 20 * HOUR)));
+        let reported_at = NOW + 100 * SECOND;
+        let start = unix_before(reported_at, 2 * SECOND);
+        let started = endpoint_start(&mut times, reported_at, ListScope::Changes, listed(1, start));
+        assert!((reported_at - 2 * SECOND..=reported_at).contains(&started), "{started:?}");
         // Reported again, by the same or by another source that rounds.
         for again in [start, UnixMicros::from_micros(start.as_micros() + 999)] {
             let repeated =
-                endpoint_start(&mut times, news + 30 * SECOND, ListScope::Changes, listed(1, again));
+                endpoint_start(&mut times, reported_at + 30 * SECOND, ListScope::Changes, listed(1, again));
             let apart = repeated.max(started) - repeated.min(started);
             assert!(apart < SECOND, "{repeated:?} after {started:?}");
         }
@@ -99,11 +107,11 @@
 /// The configuration holds changes of the list from long ago behind the list itself.
 #[test]
 fn a_start_known_from_the_configuration_does_not_count_as_live() {
-    let mut times = fast(Duration::ZERO);
-    endpoint_start(&mut times, NOW, ListScope::Complete, listed(1, before(NOW, 20 * HOUR)));
+    let mut times = fast_clock(Duration::ZERO);
+    endpoint_start(&mut times, NOW, ListScope::Complete, listed(1, unix_before(NOW, 20 * HOUR)));
     let body = EventBody::EndpointList {
         scope: ListScope::Changes,
-        endpoints: vec![listed(1, before(NOW, 600 * SECOND))],
+        endpoints: vec![listed(1, unix_before(NOW, 600 * SECOND))],
     };
     let Some(Change::EndpointList { endpoints, .. }) = times.change(NOW, body, Arrival::Initial) else {
         panic!("no list")
@@ -113,8 +121,11 @@
 
 #[test]
 fn no_start_lies_in_the_future_and_an_unreported_one_stays_unset() {
-    let mut times = slow(HOUR);
-    assert_eq!(endpoint_start(&mut times, NOW, ListScope::Complete, listed(1, before(NOW, SECOND))), NOW);
+    let mut times = slow_clock(HOUR);
+    assert_eq!(
+        endpoint_start(&mut times, NOW, ListScope::Complete, listed(1, unix_before(NOW, SECOND))),
+        NOW
+    );
     assert_eq!(
         endpoint_start(&mut times, NOW, ListScope::Changes, listed(2, UnixMicros::default())),
         Host::STARTED_LONG_AGO
@@ -123,8 +134,8 @@
 
 #[test]
 fn events_known_together_are_dated_by_the_latest_of_them() {
-    let mut times = fast(HOUR);
-    let purge = |age| EventBody::Purge { object: Some(7), group: 0, issued: before(NOW, age) };
+    let mut times = fast_clock(HOUR);
+    let purge = |age| EventBody::Purge { object: Some(7), group: 0, issued: unix_before(NOW, age) };
     let events = [5 * SECOND, 2 * SECOND].map(|age| BulletinEvent { number: 1, body: purge(age) });
     times.prepare(NOW, &events);
     let ages = events.map(|event| match times.change(NOW, event.body, Arrival::Initial) {
@@ -136,13 +147,13 @@
 
 #[test]
 fn the_age_of_a_copy_is_never_underestimated() {
-    let young = before(NOW, Duration::from_millis(10));
-    let old = fast(HOUR).copy(NOW, young).expect("it has a time");
+    let young = unix_before(NOW, Duration::from_millis(10));
+    let old = fast_clock(HOUR).copy(NOW, young).expect("it has a time");
     assert_eq!(old.issued_local, NOW - HOUR - Duration::from_millis(10), "a fast clock takes it for older");
-    let mut times = slow(HOUR);
+    let mut times = slow_clock(HOUR);
     assert_eq!(times.copy(NOW, young), None, "it is of the future as far as is known");
-    purge_age(&mut times, NOW, before(NOW, Duration::ZERO));
-    let copy = times.copy(NOW, before(NOW, 10 * SECOND)).expect("its age is known now");
+    purge_age(&mut times, NOW, unix_before(NOW, Duration::ZERO));
+    let copy = times.copy(NOW, unix_before(NOW, 10 * SECOND)).expect("its age is known now");
     assert_eq!(copy.issued_local, NOW - 10 * SECOND);
     assert_eq!(copy.issued, NOW + HOUR - 10 * SECOND, "compared with purges as it was reported");
     assert_eq!(times.copy(NOW, UnixMicros::default()), None);
@@ -150,16 +161,16 @@
 
 #[test]
 fn remembered_starts_are_bounded_and_removed_stores_are_forgotten() {
-    let mut times = fast(Duration::ZERO);
+    let mut times = fast_clock(Duration::ZERO);
     for server in 0..MAX_STARTS as u64 + 10 {
         endpoint_start(
             &mut times,
             NOW,
             ListScope::Changes,
-            listed(server, before(NOW, HOUR - Duration::from_micros(server))),
+            listed(server, unix_before(NOW, HOUR - Duration::from_micros(server))),
         );
     }
     assert_eq!(times.starts.len(), MAX_STARTS);
-    endpoint_start(&mut times, NOW, ListScope::Complete, listed(3, before(NOW, SECOND)));
+    endpoint_start(&mut times, NOW, ListScope::Complete, listed(3, unix_before(NOW, SECOND)));
     assert_eq!(times.starts.len(), 1);
 }
--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -67,17 +67,17 @@
     /// Whether the first byte of an attempt may be written now. Danger: it has waited for its connection, and
     /// meanwhile its client may have left or been answered, and its time or that of its idempotency key may
     /// be over.
-    pub fn may_begin(&mut self, now: MonotonicTime, key: Key) -> bool {
+    pub fn may_send(&mut self, now: MonotonicTime, key: Key) -> bool {
         let Some(attempt) = self.attempts.get(key) else { return false };
-        let fit = self.requests.get(attempt.request).is_some_and(|open| {
+        let is_sendable = self.requests.get(attempt.request).is_some_and(|open| {
             !open.answered
                 && !self.deduplication_lapsed(now, open)
                 && attempt.deadline(open) >= now + SHORTEST_WAIT
         });
-        if !fit {
+        if !is_sendable {
             self.withdraw(now, key, Status::NeverSent);
         }
-        fit
+        is_sendable
     }
 
     /// Whether stores would no longer drop a retry under the request's idempotency key, counted from the
@@ -128,7 +128,7 @@
     }
 
     /// Whether the store of an attempt is informed of a copy that the client holds.
-    pub fn offered_copy(&self, key: Key) -> bool {
+    pub fn has_client_tag(&self, key: Key) -> bool {
         self.request_of(key).is_some_and(|open| open.request.client_tag.is_some())
     }
 
@@ -140,10 +140,10 @@
     /// Sends an attempt again after a backoff, because this machine had no capacity to connect for it.
     /// Returns false once `patience` has passed since it was decided: then another store may have a
     /// connection.
-    pub fn resend_after_backoff(&mut self, now: MonotonicTime, key: Key, patience: Duration) -> bool {
+    pub fn resend_after_backoff(&mut self, now: MonotonicTime, key: Key, max_wait: Duration) -> bool {
         let Some(attempt) = self.attempts.get(key) else { return false };
         let waited = now.saturating_since(attempt.created_at);
-        if waited >= patience {
+        if waited >= max_wait {
             return false;
         }
         self.deadlines.set(now + backoff(waited), Due::Dispatch(key));
--- a/gateway/src/core/endpoints.rs
+++ b/gateway/src/core/endpoints.rs
@@ -45,23 +45,23 @@
             }
         };
         self.handle_event(now, event);
-        self.withdraw_concerned(now, change);
+        self.withdraw_affected(now, change);
     }
 
     /// Withdraws the attempts of which no byte is written and that a change makes wrong.
-    fn withdraw_concerned(&mut self, now: MonotonicTime, change: &Change) {
-        let is_concerned = |key: &Key| {
+    fn withdraw_affected(&mut self, now: MonotonicTime, change: &Change) {
+        let is_affected = |key: &Key| {
             let attempt = self.attempts.get(*key);
-            attempt.is_some_and(|attempt| attempt.first_byte_at.is_none() && self.concerns(change, attempt))
+            attempt.is_some_and(|attempt| attempt.first_byte_at.is_none() && self.affects(change, attempt))
         };
-        let concerned: Vec<Key> = self.unsent_attempts.iter().copied().filter(is_concerned).collect();
-        for key in concerned {
+        let affected: Vec<Key> = self.unsent_attempts.iter().copied().filter(is_affected).collect();
+        for key in affected {
             self.withdraw(now, key, Status::NeverSent);
         }
     }
 
     /// Whether a change makes what was decided for an attempt wrong.
-    fn concerns(&self, change: &Change, attempt: &Attempt) -> bool {
+    fn affects(&self, change: &Change, attempt: &Attempt) -> bool {
         match *change {
             Change::Purge { object, group, .. } => {
                 self.requests.get(attempt.request).is_some_and(|open| match object {
@@ -108,7 +108,7 @@
     }
 
     /// Starts of stores turned out to be earlier than the list said.
-    pub fn date_starts(&mut self, now: MonotonicTime, earlier: Vec<DatedStart>) {
+    pub fn correct_starts(&mut self, now: MonotonicTime, earlier: Vec<DatedStart>) {
         if !earlier.is_empty() {
             info!(stores = earlier.len(), "starts of stores turn out to be earlier");
             self.handle_event(now, Event::StartsDated(earlier));
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -31,7 +31,7 @@
 use larchway_hierarchy::origin_admission::OriginAdmission;
 use larchway_object_cache::ObjectCache;
 use larchway_operations::{ClassTable, RequestCounters};
-use origin::LoopWatch;
+use origin::LoopDetector;
 use requests::OpenRequest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -58,7 +58,7 @@
     gateway_count: u64,
     /// The hop of this gateway, where stores accept the list of proxies passed.
     pub own_hop: Option<OwnHop>,
-    loop_watch: Option<LoopWatch>,
+    loop_detector: Option<LoopDetector>,
     /// Parents that fills have made suspect of a loop; emptied by whoever reads them.
     pub suspected_parents: Vec<ServerId>,
     /// Events that the module has not handled yet.
@@ -105,7 +105,7 @@
             origin_fetcher_kinds: [None; 2],
             gateway_count: 1,
             own_hop: None,
-            loop_watch: None,
+            loop_detector: None,
             suspected_parents: Vec::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
--- a/gateway/src/core/origin.rs
+++ b/gateway/src/core/origin.rs
@@ -51,7 +51,7 @@
 }
 
 /// What the fills by parents have shown.
-pub(super) struct LoopWatch {
+pub(super) struct LoopDetector {
     settings: LoopInferenceSettings,
     parents: BTreeMap<ServerId, LoopInference>,
 }
@@ -64,11 +64,15 @@
 impl Core {
     /// Sets the shield of the origin, or removes it; `hubs` has the hub of each parent. What a shield has
     /// learned stays while its settings do.
-    pub fn shield_origin(&mut self, settings: Option<AdmissionSettings>, hubs: BTreeMap<ServerId, String>) {
+    pub fn configure_shield(
+        &mut self,
+        settings: Option<AdmissionSettings>,
+        hubs: BTreeMap<ServerId, String>,
+    ) {
         self.hubs = hubs;
-        if let Some(watch) = &mut self.loop_watch {
+        if let Some(detector) = &mut self.loop_detector {
             // Parents that have left leave nothing behind.
-            watch.parents.retain(|id, _| self.hubs.contains_key(id));
+            detector.parents.retain(|id, _| self.hubs.contains_key(id));
         }
         if self.shield.as_ref().map(OriginAdmission::settings) != settings {
             // Fetches that the old shield admitted are unknown to the new one.
@@ -79,9 +83,9 @@
     }
 
     /// Infers loops from the ends of fills, or stops that.
-    pub fn infer_loops(&mut self, settings: Option<LoopInferenceSettings>) {
-        if self.loop_watch.as_ref().map(|watch| &watch.settings) != settings.as_ref() {
-            self.loop_watch = settings.map(|settings| LoopWatch { settings, parents: BTreeMap::new() });
+    pub fn configure_loop_inference(&mut self, settings: Option<LoopInferenceSettings>) {
+        if self.loop_detector.as_ref().map(|detector| &detector.settings) != settings.as_ref() {
+            self.loop_detector = settings.map(|settings| LoopDetector { settings, parents: BTreeMap::new() });
         }
     }
 
@@ -89,9 +93,9 @@
     /// loop.
     pub(super) fn observe_fill(&mut self, now: MonotonicTime, source: ServerId, result: FillResult) {
         let FillResult { status, note, time } = result;
-        let usual =
+        let usual_fill_time =
             self.shield.as_ref().and_then(OriginAdmission::usual_latency).unwrap_or(ASSUMED_FILL_TIME);
-        let Some(LoopWatch { settings, parents }) = &mut self.loop_watch else { return };
+        let Some(LoopDetector { settings, parents }) = &mut self.loop_detector else { return };
         if !self.hubs.contains_key(&source) || matches!(status, Status::Cancelled | Status::NeverSent) {
             return;
         }
@@ -104,9 +108,9 @@
             (Status::Timeout, _) | (_, Note::SourceLost) => FillOutcome::TimedOut,
             _ => FillOutcome::Other,
         };
-        let shown = FillObservation { outcome, waited: time };
+        let observation = FillObservation { outcome, waited: time };
         let parent = parents.entry(source).or_insert_with(|| LoopInference::new(*settings));
-        let change = parent.observe(now, shown, usual);
+        let change = parent.observe(now, observation, usual_fill_time);
         if change == SuspicionChange::Begun {
             self.suspected_parents.push(source);
         }
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -19,7 +19,7 @@
 const SHORTEST_REPLY_MARGIN: Duration = Duration::from_millis(2);
 
 /// The key returned for a request that was answered at once and holds no slot.
-const ANSWERED_AT_ONCE: Key = Key(u64::MAX);
+const ANSWERED_FROM_CACHE: Key = Key(u64::MAX);
 
 /// A request that has not ended.
 pub(super) struct OpenRequest {
@@ -111,7 +111,7 @@
             self.counters.count_received();
             self.count_ended(request.class, RequestEnd::Served);
             self.commands.push_back(Command::ReplyFromCache(reply_to, hit));
-            return Some(ANSWERED_AT_ONCE);
+            return Some(ANSWERED_FROM_CACHE);
         }
         Some(self.open_request(now, reply_to, request, time_left))
     }
@@ -194,10 +194,10 @@
     /// Whether a request may have had an effect; one that only reads has none.
     fn may_have_run(&self, open: &OpenRequest) -> bool {
         let class = self.classes.get(open.request.class);
-        let reads = class.is_some_and(|slot| slot.settings.class.effect == Effect::Idempotent);
-        let begun =
+        let only_reads = class.is_some_and(|slot| slot.settings.class.effect == Effect::Idempotent);
+        let is_begun =
             |key: &Key| self.attempts.get(*key).is_some_and(|attempt| attempt.first_byte_at.is_some());
-        !reads && (open.first_possible_run_at.is_some() || open.attempts.iter().any(begun))
+        !only_reads && (open.first_possible_run_at.is_some() || open.attempts.iter().any(is_begun))
     }
 
     /// Fails a request whose time is over, even if the module has no reply to give: each request gets one.
@@ -211,9 +211,9 @@
     /// All open requests and all that are still admitted get their reply before the process ends at `end`.
     pub fn answer_all_by(&mut self, now: MonotonicTime, end: MonotonicTime) {
         self.answer_all_before = Some(end);
-        let late = |open: &OpenRequest| !open.answered && open.deadline > end;
+        let is_due_later = |open: &OpenRequest| !open.answered && open.deadline > end;
         let cut_short: Vec<Key> =
-            self.requests.iter().filter(|(_, open)| late(open)).map(|(key, _)| key).collect();
+            self.requests.iter().filter(|(_, open)| is_due_later(open)).map(|(key, _)| key).collect();
         for key in cut_short {
             let Some(open) = self.requests.get_mut(key) else { continue };
             self.deadlines.clear(open.deadline, Due::Request(key));
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -25,7 +25,7 @@
     Endpoint { host, name: format!("s-{server}"), dial: None }
 }
 
-fn core() -> Core {
+fn configured_core() -> Core {
     let class = |latency_objective, effect, fresh| Class {
         latency_objective,
         objective_stretch: 2.0,
@@ -35,12 +35,15 @@
     };
     let classes =
         [class(600 * MS, Effect::Idempotent, Duration::ZERO), class(400 * MS, Effect::Idempotent, 8000 * MS)];
-    let terms =
-        |c: &Class| ClassSettings { class: c.clone(), deadline: 6000 * MS, needs_idempotency_key: false };
+    let settings_of = |class: &Class| ClassSettings {
+        class: class.clone(),
+        deadline: 6000 * MS,
+        needs_idempotency_key: false,
+    };
     let classes = classes
         .iter()
         .zip(["files", "status"])
-        .map(|(c, n)| NamedClass { name: n.into(), settings: terms(c) })
+        .map(|(class, name)| NamedClass { name: name.into(), settings: settings_of(class) })
         .collect();
     let settings = Settings {
         parent_kind: Some(1),
@@ -77,19 +80,19 @@
     }
 }
 
-fn sent(core: &mut Core) -> Vec<Key> {
+fn take_sent(core: &mut Core) -> Vec<Key> {
     let commands = std::mem::take(&mut core.commands);
     commands
         .into_iter()
-        .filter_map(|o| if let Command::SendAttempt(key) = o { Some(key) } else { None })
+        .filter_map(|command| if let Command::SendAttempt(key) = command { Some(key) } else { None })
         .collect()
 }
 
 #[test]
 fn a_waiting_attempt_goes_elsewhere_after_a_drain_event() {
-    let mut core = core();
+    let mut core = configured_core();
     core.request(START, reply_to(1), new_request(0, 7));
-    let waiting = sent(&mut core)[0];
+    let waiting = take_sent(&mut core)[0];
     core.attempt(waiting).expect("there").connection = Some(Key(5));
     let (server, _) = core.target(waiting).expect("a target");
     core.apply_event(
@@ -102,43 +105,43 @@
     assert!(
         matches!(core.commands.front(), Some(Command::AbandonAttempt { attempt, .. }) if *attempt == waiting)
     );
-    let again = sent(&mut core);
-    assert_eq!(again.len(), 1);
-    assert_ne!(core.target(again[0]).expect("a target").0, server);
+    let resent = take_sent(&mut core);
+    assert_eq!(resent.len(), 1);
+    assert_ne!(core.target(resent[0]).expect("a target").0, server);
     assert!(core.store_request(START + 2 * MICROSECOND, waiting).is_none(), "it is not sent any more");
 }
 
 #[test]
 fn a_waiting_attempt_is_decided_again_after_a_purge_but_a_sent_one_is_not() {
-    let mut core = core();
+    let mut core = configured_core();
     for object in [7, 8] {
         core.request(START, reply_to(object), new_request(0, object));
     }
-    let keys = sent(&mut core);
+    let keys = take_sent(&mut core);
     core.attempt(keys[1]).expect("there").first_byte_at = Some(START);
     let purge = Change::Purge { object: None, group: 17, issued: START - 50 * MS, age: 50 * MS };
     core.apply_event(START, &purge);
     assert!(core.attempt(keys[0]).is_none() && core.attempt(keys[1]).is_some());
-    let again = sent(&mut core);
-    assert_eq!(core.store_request(START, again[0]).expect("it waits").max_age_ms, 40, "less the margin");
+    let resent = take_sent(&mut core);
+    assert_eq!(core.store_request(START, resent[0]).expect("it waits").max_age_ms, 40, "less the margin");
     // While it waits the bound moves on with the clock: the purge is longer ago by then.
-    assert_eq!(core.store_request(START + 100 * MS, again[0]).expect("it waits").max_age_ms, 140);
+    assert_eq!(core.store_request(START + 100 * MS, resent[0]).expect("it waits").max_age_ms, 140);
 }
 
 #[test]
-fn the_bound_on_age_never_passes_the_fresh_time() {
-    let mut core = core();
+fn the_age_bound_never_exceeds_the_fresh_time() {
+    let mut core = configured_core();
     let (issued, age) = (START - 7990 * MS, 7990 * MS);
     core.apply_event(START, &Change::Purge { object: Some(7), group: 0, issued, age });
     core.request(START, reply_to(1), new_request(1, 7));
-    let key = sent(&mut core)[0];
+    let key = take_sent(&mut core)[0];
     assert_eq!(core.store_request(START, key).expect("it waits").max_age_ms, 7980);
     assert_eq!(core.store_request(START + 500 * MS, key).expect("it waits").max_age_ms, 8000);
 }
 
 #[test]
-fn stores_that_are_replaced_for_weeks_leave_nothing_behind() {
-    let mut core = core();
+fn removed_stores_leave_no_state_behind() {
+    let mut core = configured_core();
     for n in 0..1000 {
         core.apply_event(
             START,
@@ -172,10 +175,10 @@
 }
 
 #[test]
-fn a_short_wait_is_not_spent_on_the_margin() {
-    let mut core = core();
+fn the_reply_margin_takes_little_of_a_short_timeout() {
+    let mut core = configured_core();
     core.request(START, reply_to(1), Request { timeout: 50 * MS, ..new_request(1, 7) });
-    let key = sent(&mut core)[0];
+    let key = take_sent(&mut core)[0];
     assert!((45..50).contains(&core.store_request(START, key).expect("it waits").max_wait_ms));
 }
 
@@ -184,42 +187,42 @@
 #[test]
 fn an_attempt_never_passes_on_more_than_is_left_and_needs_a_millisecond() {
     const TTL: Duration = Duration::from_secs(6);
-    for left in (0..40).map(|n| n * 100 * MICROSECOND).chain([TTL / 2, TTL - LONGEST_REPLY_MARGIN]) {
-        let mut core = core();
+    for time_left in (0..40).map(|n| n * 100 * MICROSECOND).chain([TTL / 2, TTL - LONGEST_REPLY_MARGIN]) {
+        let mut core = configured_core();
         core.request(START, reply_to(1), new_request(0, 7));
         let end = core.requests.values_mut().next().expect("open").deadline;
-        let at = end - left;
+        let at = end - time_left;
         // What is withdrawn is decided again, by no more attempts than the settings allow.
         let (mut begun, mut decided) = (0, 0);
-        while let Some(key) = sent(&mut core).pop() {
+        while let Some(key) = take_sent(&mut core).pop() {
             decided += 1;
-            if core.may_begin(at, key) {
+            if core.may_send(at, key) {
                 begun += 1;
                 let max_wait_ms = core.store_request(at, key).expect("it waits").max_wait_ms;
-                assert!(Duration::from_millis(max_wait_ms) <= left, "{left:?}");
+                assert!(Duration::from_millis(max_wait_ms) <= time_left, "{time_left:?}");
                 core.record_first_byte(at, key);
             }
         }
-        assert!(decided <= 8, "{decided} attempts with {left:?}");
-        assert!((begun > 0) == (left >= SHORTEST_WAIT), "{begun} begun with {left:?}");
+        assert!(decided <= 8, "{decided} attempts with {time_left:?}");
+        assert!((begun > 0) == (time_left >= SHORTEST_WAIT), "{begun} begun with {time_left:?}");
         while let Some(due) = core.deadlines.pop(end) {
             core.handle_deadline(end, due);
         }
-        assert_eq!(core.unanswered_requests(), 0, "one final answer, with {left:?}");
+        assert_eq!(core.unanswered_requests(), 0, "one final answer, with {time_left:?}");
     }
 }
 
 #[test]
-fn an_attempt_takes_another_connection_only_once() {
-    let mut core = core();
+fn an_attempt_reconnects_only_once() {
+    let mut core = configured_core();
     core.request(START, reply_to(1), new_request(0, 7));
-    let waiting = sent(&mut core)[0];
+    let waiting = take_sent(&mut core)[0];
     assert!(core.reconnect_once(waiting) && !core.reconnect_once(waiting));
 }
 
 #[test]
-fn an_id_that_is_open_is_not_taken_again_until_its_request_has_ended() {
-    let mut core = core();
+fn a_call_id_in_use_is_rejected_until_its_request_has_ended() {
+    let mut core = configured_core();
     let request = core.request(START, reply_to(1), new_request(0, 7)).expect("taken");
     assert!(core.request(START, reply_to(2), new_request(0, 7)).is_none());
     core.client_left(START, request);
@@ -227,10 +230,10 @@
 }
 
 #[test]
-fn each_request_gets_one_final_answer_whatever_comes_late() {
-    let mut core = core();
+fn each_request_gets_one_final_reply_despite_late_events() {
+    let mut core = configured_core();
     let request = core.request(START, reply_to(1), new_request(0, 7)).expect("taken");
-    let first = sent(&mut core)[0];
+    let first = take_sent(&mut core)[0];
     core.attempt(first).expect("there").first_byte_at = Some(START);
     assert_eq!(core.end_attempt(START + 5 * MICROSECOND, first, Status::Ok, Note::Hit), Some(reply_to(1)));
     assert_eq!(core.end_attempt(START + 6 * MICROSECOND, first, Status::Ok, Note::Hit), None);
@@ -239,16 +242,16 @@
     let finals = core
         .commands
         .iter()
-        .filter(|o| matches!(o, Command::ReplyRejected(..) | Command::ReplyFailed(..)))
+        .filter(|command| matches!(command, Command::ReplyRejected(..) | Command::ReplyFailed(..)))
         .count();
     assert_eq!((finals, core.open_requests(), core.request_body_bytes), (0, 0, 0));
 }
 
 #[test]
-fn at_the_deadline_a_request_fails_and_its_attempt_is_given_up() {
-    let mut core = core();
+fn at_the_deadline_a_request_fails_and_its_attempt_is_abandoned() {
+    let mut core = configured_core();
     let request = core.request(START, reply_to(1), new_request(0, 7)).expect("taken");
-    let key = sent(&mut core)[0];
+    let key = take_sent(&mut core)[0];
     let attempt = core.attempt(key).expect("there");
     (attempt.first_byte_at, attempt.connection) = (Some(START), Some(Key(5)));
     let at = core
@@ -258,11 +261,13 @@
     core.handle_deadline(at, Due::Request(request));
     assert!(at < START + 6000 * MS, "before the client gives up");
     let commands: Vec<Command> = core.commands.drain(..).collect();
-    assert!(commands.iter().any(|o| matches!(o, Command::AbandonAttempt { attempt, .. } if *attempt == key)));
+    assert!(commands
+        .iter()
+        .any(|command| matches!(command, Command::AbandonAttempt { attempt, .. } if *attempt == key)));
     assert_eq!(
         commands
             .iter()
-            .filter(|o| **o == Command::ReplyFailed(reply_to(1), FailureCause::DeadlineExceeded))
+            .filter(|command| **command == Command::ReplyFailed(reply_to(1), FailureCause::DeadlineExceeded))
             .count(),
         1
     );
@@ -272,17 +277,17 @@
 /// The platform may end the process its longest deadline (3 s at most) and 0.7 s after it told it to stop.
 /// All attempts hang, and requests come before and after that.
 #[test]
-fn all_is_answered_before_the_process_may_be_killed_whatever_the_longest_deadline_is() {
+fn all_requests_are_answered_before_the_process_may_be_killed() {
     const STEP: Duration = Duration::from_millis(10);
     for longest in [50 * MS, 200 * MS, 1000 * MS, 3000 * MS, 6000 * MS] {
-        let mut core = core();
-        let told = START + 500 * MS;
-        let killed = told + longest.min(3000 * MS) + 700 * MS;
+        let mut core = configured_core();
+        let announced_at = START + 500 * MS;
+        let killed_at = announced_at + longest.min(3000 * MS) + 700 * MS;
         let mut answered = 0;
         let mut number = 0;
         let mut at = START;
-        while at < killed {
-            if at == told {
+        while at < killed_at {
+            if at == announced_at {
                 core.answer_all_by(at, final_reply_deadline(at, longest));
             }
             number += 1;
@@ -291,7 +296,7 @@
                 reply_to(number),
                 Request { timeout: longest, ..new_request(number as usize % 2, number) },
             );
-            for key in sent_and_count(&mut core, &mut answered) {
+            for key in take_sent_and_count_replies(&mut core, &mut answered) {
                 core.record_first_byte(at, key);
             }
             // A due time within the step counts as late as its end.
@@ -299,7 +304,7 @@
             while let Some(due) = core.deadlines.pop(at) {
                 core.handle_deadline(at, due);
             }
-            sent_and_count(&mut core, &mut answered)
+            take_sent_and_count_replies(&mut core, &mut answered)
                 .into_iter()
                 .for_each(|key| core.record_first_byte(at, key));
         }
@@ -308,31 +313,33 @@
 }
 
 /// The attempts that are to be sent; refusals and failures among the commands are counted.
-fn sent_and_count(core: &mut Core, answered: &mut u64) -> Vec<Key> {
-    let finals =
-        core.commands.iter().filter(|o| matches!(o, Command::ReplyRejected(..) | Command::ReplyFailed(..)));
+fn take_sent_and_count_replies(core: &mut Core, answered: &mut u64) -> Vec<Key> {
+    let finals = core
+        .commands
+        .iter()
+        .filter(|command| matches!(command, Command::ReplyRejected(..) | Command::ReplyFailed(..)));
     *answered += finals.count() as u64;
-    sent(core)
+    take_sent(core)
 }
 
 /// Invariant 1 of `docs/design/operations.md`, over random histories, against what the sockets were told.
 #[test]
-fn each_request_taken_is_counted_once_by_how_it_ended() {
+fn each_received_request_is_counted_once_by_its_outcome() {
     for seed in 0..40u64 {
         let mut drawn = 0;
         let mut draw = |most: u64| {
             drawn += 1;
             larchway::mix(larchway::mix(seed + 1) ^ larchway::mix(drawn)) % most
         };
-        let mut core = core();
+        let mut core = configured_core();
         // Half of the histories with copies of the gateway's own (invariant 6 of `docs/design/copies.md`).
         let mut cache = ObjectCache::new(CopiesFile::default(), LinkRates::default());
         cache.set_capacity(MemoryBudget { limit: 1_000_000, reserved: 0 });
         cache.set_purge_source(PurgeSource::None);
         core.object_cache = (seed % 2 == 1).then_some(cache);
-        let mut held = 0;
-        let (mut at, mut taken, mut left) = (START, 0u64, 0u64);
-        let mut counted = [0u64; 3];
+        let mut cached = 0;
+        let (mut at, mut received, mut left) = (START, 0u64, 0u64);
+        let mut expected = [0u64; 3];
         let mut requests: Vec<Key> = Vec::new();
         let mut attempts: Vec<Key> = Vec::new();
         for step in 0..400 {
@@ -343,7 +350,7 @@
                     let timeout = Duration::from_millis(1 + draw(900));
                     let request =
                         Request { timeout, call_id, ..new_request(draw(2) as usize, 1000 + draw(30)) };
-                    taken += 1;
+                    received += 1;
                     requests.extend(core.request(at, reply_to(step), request));
                 }
                 4..=6 if !attempts.is_empty() => {
@@ -354,7 +361,7 @@
                         core.cache_copy(at, key, CopyTimes { issued: at, issued_local: at }, None, b"bytes");
                     }
                     if core.end_attempt(at, key, status, Note::None).is_some() {
-                        counted[0] += 1;
+                        expected[0] += 1;
                     }
                 }
                 7 if !requests.is_empty() => {
@@ -364,8 +371,8 @@
                     left += (before - core.unanswered_requests()) as u64;
                 }
                 8 => {
-                    taken += 1;
-                    counted[1] += 1;
+                    received += 1;
+                    expected[1] += 1;
                     core.count_rejected(draw(2) as usize);
                 }
                 _ => {}
@@ -377,43 +384,44 @@
                 match command {
                     Command::SendAttempt(key) => attempts.push(key),
                     Command::ReplyFromCache(..) => {
-                        counted[0] += 1;
-                        held += 1;
+                        expected[0] += 1;
+                        cached += 1;
                     }
-                    Command::ReplyRejected(..) => counted[1] += 1,
-                    Command::ReplyFailed(..) => counted[2] += 1,
+                    Command::ReplyRejected(..) => expected[1] += 1,
+                    Command::ReplyFailed(..) => expected[2] += 1,
                     Command::AbandonAttempt { .. } => {}
                 }
             }
             let sum = |get: fn(&larchway_operations::request_counters::ClassCounts) -> u64| {
                 core.counters.classes().map(|class| get(&class.counts)).sum::<u64>()
             };
-            let found = [sum(|c| c.served), sum(|c| c.rejected), sum(|c| c.failed)];
-            assert_eq!(found, [counted[0], counted[1], counted[2] + left], "seed {seed}, step {step}");
+            let actual = [sum(|c| c.served), sum(|c| c.rejected), sum(|c| c.failed)];
+            assert_eq!(actual, [expected[0], expected[1], expected[2] + left], "seed {seed}, step {step}");
             assert_eq!(core.counters.in_progress(), core.unanswered_requests() as u64);
-            assert_eq!(core.counters.received(), taken);
-            assert_eq!(taken, found.iter().sum::<u64>() + core.counters.in_progress());
+            assert_eq!(core.counters.received(), received);
+            assert_eq!(received, actual.iter().sum::<u64>() + core.counters.in_progress());
         }
-        assert_eq!(held > 0, core.object_cache.is_some(), "seed {seed}");
+        assert_eq!(cached > 0, core.object_cache.is_some(), "seed {seed}");
     }
 }
 
-fn shielded(first: f64) -> Core {
-    let mut core = core();
-    let terms = AdmissionSettings { initial_limit: first, min_limit: 1.0, ..AdmissionSettings::default() };
-    core.shield_origin(Some(terms), BTreeMap::from([(50, "east".to_string())]));
+fn core_with_shield(initial_limit: f64) -> Core {
+    let mut core = configured_core();
+    let settings = AdmissionSettings { initial_limit, min_limit: 1.0, ..AdmissionSettings::default() };
+    core.configure_shield(Some(settings), BTreeMap::from([(50, "east".to_string())]));
     core
 }
 
 /// H7 of `docs/design/hierarchy.md`, and that what is turned away has its answer or a look at once.
 #[test]
-fn fills_beyond_the_shields_limit_become_looks_or_refusals_at_once_and_come_back_with_it() {
-    let mut core = shielded(2.0);
+fn fills_beyond_the_shield_limit_are_rejected_or_cached_only_and_resume_below_it() {
+    let mut core = core_with_shield(2.0);
     for n in 0..10 {
         core.request(START, reply_to(n), new_request(0, 100 + n));
     }
-    let refused = core.commands.iter().filter(|o| matches!(o, Command::ReplyRejected(..))).count();
-    let out = sent(&mut core);
+    let refused =
+        core.commands.iter().filter(|command| matches!(command, Command::ReplyRejected(..))).count();
+    let out = take_sent(&mut core);
     let fetches = |core: &Core, key: &Key| {
         core.store_request(START, *key)
             .is_some_and(|p| p.source.is_some_and(|s| s == "s-50" || s == "s-90") && !p.cached_only)
@@ -426,17 +434,17 @@
     }
     assert_eq!(core.shield().map(OriginAdmission::in_flight), Some(0));
     core.request(START + 30 * MS, reply_to(20), new_request(0, 500));
-    let again = sent(&mut core);
-    assert!(again.iter().any(|key| fetches(&core, key)), "there is room again");
+    let resent = take_sent(&mut core);
+    assert!(resent.iter().any(|key| fetches(&core, key)), "there is room again");
 }
 
 #[test]
-fn what_the_caches_hold_is_no_fill_and_a_failing_origin_is_asked_by_fewer() {
-    let mut core = shielded(4.0);
+fn cache_hits_are_no_fills_and_a_failing_origin_lowers_the_limit() {
+    let mut core = core_with_shield(4.0);
     for n in 0..12 {
         let at = START + Duration::from_millis(n * 400);
         core.request(at, reply_to(n), new_request(0, 7));
-        for key in sent(&mut core) {
+        for key in take_sent(&mut core) {
             core.end_attempt(at + 10 * MS, key, Status::Ok, Note::Hit);
         }
     }
@@ -445,7 +453,7 @@
     for n in 0..6 {
         let at = START + Duration::from_secs(10 + n);
         core.request(at, reply_to(100 + n), new_request(0, 1000 + n));
-        for key in sent(&mut core) {
+        for key in take_sent(&mut core) {
             core.end_attempt(at + 50 * MS, key, Status::Error, Note::OriginFailed);
         }
     }
@@ -453,20 +461,20 @@
 }
 
 #[test]
-fn a_run_of_fills_that_no_parent_brings_makes_it_suspect_and_hits_say_nothing() {
-    let mut core = core();
-    core.shield_origin(None, BTreeMap::from([(50, "east".to_string())]));
-    core.infer_loops(Some(LoopInferenceSettings {
+fn a_run_of_rejected_fills_makes_a_parent_suspect_and_hits_do_not() {
+    let mut core = configured_core();
+    core.configure_shield(None, BTreeMap::from([(50, "east".to_string())]));
+    core.configure_loop_inference(Some(LoopInferenceSettings {
         window: 4,
         threshold: 0.75,
         exclusion: Duration::from_secs(1),
     }));
     let mut at = START;
-    let mut ask_all = |core: &mut Core, from: u64, end: (Status, Note)| {
+    let mut request_all = |core: &mut Core, from: u64, end: (Status, Note)| {
         for n in from..from + 12 {
             at += 500 * MS;
             core.request(at, reply_to(n), new_request(0, n));
-            for key in sent(core) {
+            for key in take_sent(core) {
                 let (status, note) = end;
                 let result =
                     AttemptResult { source_wait: 440 * MS, ..AttemptResult::without_reply(status, note) };
@@ -475,9 +483,9 @@
             core.commands.clear();
         }
     };
-    ask_all(&mut core, 100, (Status::Ok, Note::Hit));
-    ask_all(&mut core, 200, (Status::Ok, Note::Filled));
+    request_all(&mut core, 100, (Status::Ok, Note::Hit));
+    request_all(&mut core, 200, (Status::Ok, Note::Filled));
     assert!(core.suspected_parents.is_empty());
-    ask_all(&mut core, 300, (Status::Full, Note::SourceRefused));
+    request_all(&mut core, 300, (Status::Full, Note::SourceRefused));
     assert_eq!(core.suspected_parents.first(), Some(&50));
 }
--- a/gateway/src/hierarchy/loop_guard.rs
+++ b/gateway/src/hierarchy/loop_guard.rs
@@ -31,8 +31,8 @@
 impl LoopGuard {
     /// Sets the name of this gateway, without the characters that cannot stand in trails.
     pub(super) fn set_own_name(&mut self, name: &str) {
-        let accepted = |character: char| character.is_ascii_alphanumeric() || character == '.';
-        let replace = |character: char| if accepted(character) { character } else { '-' };
+        let is_accepted = |character: char| character.is_ascii_alphanumeric() || character == '.';
+        let replace = |character: char| if is_accepted(character) { character } else { '-' };
         self.own_name = name.chars().map(replace).collect();
     }
 
--- a/gateway/src/membership/client_events.rs
+++ b/gateway/src/membership/client_events.rs
@@ -54,7 +54,7 @@
             }
             ClientEvent::ChildRemoved { watch, name } => self.node_removed(now, watch, name, effects),
             ClientEvent::Complete { watch, .. } => self.nodes_read(now, watch, effects),
-            other => self.session_changed(now, other, effects),
+            session_event => self.session_changed(now, session_event, effects),
         }
     }
 
--- a/gateway/src/membership/mod.rs
+++ b/gateway/src/membership/mod.rs
@@ -120,12 +120,12 @@
         }
         let old_client = client_config(&self.settings, &self.own);
         let new_client = client_config(&settings, &own);
-        let is_other_source = self.settings.servers != settings.servers
+        let source_changed = self.settings.servers != settings.servers
             || self.settings.node_defaults != settings.node_defaults;
         self.set_roster_file(now, roster_file(&settings, &own));
         self.watches = Watches::new(&settings, &own);
         (self.settings, self.own) = (settings, own);
-        if is_other_source || needs_other_session(&old_client, &new_client) {
+        if source_changed || needs_new_session(&old_client, &new_client) {
             self.replace_session(now, new_client, seed, &mut effects);
         } else if let Some(registration) =
             new_client.registration.filter(|new| old_client.registration.as_ref() != Some(new))
@@ -288,7 +288,7 @@
 }
 
 /// Whether two configurations of the client differ in more than the data of the own node.
-fn needs_other_session(old: &ClientConfig, new: &ClientConfig) -> bool {
+fn needs_new_session(old: &ClientConfig, new: &ClientConfig) -> bool {
     let without_data = |config: &ClientConfig| {
         let registration = config.registration.clone();
         let registration = registration.map(|node| Registration { data: Vec::new(), ..node });
--- a/gateway/src/net/endpoint_list.rs
+++ b/gateway/src/net/endpoint_list.rs
@@ -19,8 +19,8 @@
         if let Some(weights) = hierarchy.tick(now) {
             self.core.set_parent_weights(now, weights);
         }
-        self.core.shield_origin(hierarchy.shield_settings(), hierarchy.hubs_by_parent());
-        self.core.infer_loops(hierarchy.loop_inference());
+        self.core.configure_shield(hierarchy.shield_settings(), hierarchy.hubs_by_parent());
+        self.core.configure_loop_inference(hierarchy.loop_inference());
         self.core.own_hop = hierarchy.own_hop();
         self.core.deadlines.shift(&mut self.hierarchy_deadline, hierarchy.next_due(), Due::Hierarchy);
     }
@@ -58,7 +58,7 @@
         match change {
             Change::EndpointList { scope, endpoints } => {
                 let mut endpoints = endpoints.clone();
-                self.store_overrides.lay_over(*scope, &mut endpoints);
+                self.store_overrides.apply(*scope, &mut endpoints);
                 self.apply_listed(now, *scope, endpoints);
             }
             change => self.core.apply_event(now, change),
@@ -104,20 +104,20 @@
     pub(super) fn bound_clock(&mut self, now: MonotonicTime) {
         let of_nodes = self.membership.as_ref().and_then(Membership::max_clock_fast);
         let max_fast = self.wire_times.max_fast().into_iter().chain(of_nodes).min();
-        let earlier = self.start_dates.bound_clock(max_fast);
-        self.core.date_starts(now, earlier);
+        let earlier = self.start_dates.lower_max_fast(max_fast);
+        self.core.correct_starts(now, earlier);
     }
 
     /// Takes over how another process of this gateway dates the starts of stores.
     pub(super) fn take_over_starts(&mut self, now: MonotonicTime, starts: impl Iterator<Item = DatedStart>) {
         let earlier = self.start_dates.take_over(starts);
-        self.core.date_starts(now, earlier);
+        self.core.correct_starts(now, earlier);
     }
 
     /// Applies a change of the list as it counts: to the core, the hierarchy and the connections to stores.
     fn apply_list(&mut self, now: MonotonicTime, scope: ListScope, mut endpoints: Vec<Endpoint>) {
         self.bound_clock(now);
-        self.start_dates.date(now, scope, &mut endpoints);
+        self.start_dates.date_entries(now, scope, &mut endpoints);
         let change = Change::EndpointList { scope, endpoints };
         self.core.apply_event(now, &change);
         let Change::EndpointList { endpoints, .. } = &change else { return };
@@ -126,15 +126,15 @@
             self.check_hierarchy(now);
         }
         let named: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.host.server).collect();
-        let unlisted = if scope.is_complete() { self.pools.remove_unnamed(&named) } else { Vec::new() };
+        let unlisted = if scope.is_complete() { self.pools.remove_unlisted(&named) } else { Vec::new() };
         for store in endpoints {
-            let address_changed = self.pools.list(store);
+            let address_changed = self.pools.apply_entry(store);
             if address_changed || store.host.state == State::Removed {
                 let is_idle = |key: &Key| match self.connections.get(*key).map(|c| &c.role) {
                     Some(Role::Store(session)) => session.is_idle(),
                     _ => false,
                 };
-                let Some(links) = self.pools.links_mut(store.host.server) else { continue };
+                let Some(links) = self.pools.connections_mut(store.host.server) else { continue };
                 let (idle, busy): (Vec<Key>, Vec<Key>) = links.iter().partition(|k| is_idle(k));
                 *links = if address_changed { Vec::new() } else { busy };
                 idle.into_iter().for_each(|key| self.close(now, key, None));
--- a/gateway/src/net/store_connections.rs
+++ b/gateway/src/net/store_connections.rs
@@ -65,11 +65,11 @@
             _ => None,
         };
         // The first one of several that are alike.
-        let least = pool.links.iter().filter_map(usable).min_by_key(|(load, down, _)| (*load, *down));
-        let stores_in_zone = self.pools.listed_in(self.own_zone).max(1);
+        let least = pool.connections.iter().filter_map(usable).min_by_key(|(load, down, _)| (*load, *down));
+        let stores_in_zone = self.pools.listed_in_zone(self.own_zone).max(1);
         let limit = (self.descriptor_limits.store_connections / stores_in_zone)
             .clamp(MIN_CONNECTIONS_PER_STORE, MAX_CONNECTIONS_PER_STORE);
-        let may_open = pool.links.len() < limit
+        let may_open = pool.connections.len() < limit
             && self.store_connection_count < self.descriptor_limits.store_connections;
         match least {
             Some((load, _, key)) if load < self.wire_settings.attempts_per_connection || !may_open => {
@@ -88,7 +88,7 @@
     ) -> Result<Key, ConnectFailure> {
         let due = now + self.wire_settings.connect_timeout;
         let key = self.connect(now, address, Role::Store(Session::new(server)), due)?;
-        if let Some(links) = self.pools.links_mut(server) {
+        if let Some(links) = self.pools.connections_mut(server) {
             links.push(key);
         }
         Ok(key)
@@ -118,7 +118,7 @@
         up: bool,
         reason: &str,
     ) {
-        if let Some(links) = self.pools.links_mut(session.store) {
+        if let Some(links) = self.pools.connections_mut(session.store) {
             links.retain(|k| *k != key);
         }
         self.forget_removed_store(session.store);
@@ -142,9 +142,9 @@
 
     /// Forgets a store that is gone, once its last connection is.
     pub(super) fn forget_removed_store(&mut self, id: ServerId) {
-        let is_gone = |p: &Pool| p.store.host.state == State::Removed && p.links.is_empty();
+        let is_gone = |p: &Pool| p.store.host.state == State::Removed && p.connections.is_empty();
         if self.pools.get(&id).is_some_and(is_gone) {
-            self.pools.forget(id);
+            self.pools.remove(id);
         }
     }
 }
--- a/gateway/src/net/store_traffic.rs
+++ b/gateway/src/net/store_traffic.rs
@@ -15,7 +15,7 @@
     /// Probes a store for its load report on a connection that is free for it; where there is none, another gateway
     /// does.
     pub(super) fn request_load_report(&mut self, now: MonotonicTime, store: ServerId) {
-        let links = self.pools.get(&store).map(|p| p.links.clone()).unwrap_or_default();
+        let links = self.pools.get(&store).map(|p| p.connections.clone()).unwrap_or_default();
         let is_free = |key: &Key| {
             let conn = self.connections.get(*key);
             conn.is_some_and(|c| {
@@ -80,7 +80,7 @@
             let Role::Store(session) = &mut conn.role else { return };
             let Some(attempt) = session.waiting.pop_front() else { return };
             // Much may have happened while it waited.
-            if self.client_left(now, attempt) || !self.core.may_begin(now, attempt) {
+            if self.client_left(now, attempt) || !self.core.may_send(now, attempt) {
                 continue;
             }
             let Some(conn) = self.connections.get_mut(key) else { return };
@@ -143,7 +143,7 @@
         input: &[u8],
     ) -> Result<usize, ProtocolError> {
         let core = &self.core;
-        let is_copy_offered = |attempt| core.offered_copy(attempt);
+        let is_copy_offered = |attempt| core.has_client_tag(attempt);
         let context =
             Context { load_fields: &self.wire_settings.load_fields, is_copy_offered: &is_copy_offered };
         let Some(Connection { role: Role::Store(session), .. }) = self.connections.get_mut(key) else {
--- a/gateway/src/peers/members.rs
+++ b/gateway/src/peers/members.rs
@@ -68,7 +68,7 @@
                 let resized = failure_detector::Input::Resized { own_member, members };
                 detector.handle(now, resized, &mut Vec::new());
             }
-            (Members::Tiered(tiered), Some(topology)) if tiered.is_at(topology, own_member) => {
+            (Members::Tiered(tiered), Some(topology)) if tiered.has_place(topology, own_member) => {
                 tiered.membership.configure(file);
             }
             (members, _) => *members = Members::new(now, file, settings),
@@ -80,8 +80,8 @@
     pub(super) fn take_over_socket(&mut self, now: MonotonicTime, file: &FleetFile) {
         let Members::Tiered(tiered) = self else { return };
         let topology = tiered.topology.clone();
-        if let Some(begun) = Tiered::new(now, file.clone(), topology, tiered.own_member, tiered.seed) {
-            **tiered = begun;
+        if let Some(restarted) = Tiered::new(now, file.clone(), topology, tiered.own_member, tiered.seed) {
+            **tiered = restarted;
         }
     }
 
@@ -144,13 +144,13 @@
         seed: u64,
     ) -> Option<Self> {
         // Another seed at each beginning, also within one process.
-        let began_at = (now - MonotonicTime::MIN).as_micros() as u64;
+        let started_at = (now - MonotonicTime::MIN).as_micros() as u64;
         let membership =
-            TieredMembership::new(now, file, topology.clone(), own_member, mix(seed ^ began_at))?;
+            TieredMembership::new(now, file, topology.clone(), own_member, mix(seed ^ started_at))?;
         Some(Tiered { topology, own_member, seed, membership })
     }
 
-    fn is_at(&self, topology: &Topology, own_member: u16) -> bool {
+    fn has_place(&self, topology: &Topology, own_member: u16) -> bool {
         self.own_member == own_member && *self.topology == *topology
     }
 
@@ -174,22 +174,22 @@
     let input = match input {
         Input::Tick => failure_detector::Input::Tick,
         Input::Leave => failure_detector::Input::Leave,
-        Input::Received { kind, from, body } if is_of_detector(kind) => {
+        Input::Received { kind, from, body } if is_detector_message(kind) => {
             failure_detector::Input::Received { kind, from, body }
         }
         Input::Received { .. } => return Vec::new(),
     };
     let mut outputs = Vec::new();
     detector.handle(now, input, &mut outputs);
-    outputs.into_iter().map(of_detector).collect()
+    outputs.into_iter().map(tiers_output).collect()
 }
 
 /// The kinds of messages that a failure detector of the whole tier handles.
-fn is_of_detector(kind: MessageKind) -> bool {
+fn is_detector_message(kind: MessageKind) -> bool {
     matches!(kind, MessageKind::Ping | MessageKind::Ack | MessageKind::IndirectPing)
 }
 
-fn of_detector(output: failure_detector::Output) -> Output {
+fn tiers_output(output: failure_detector::Output) -> Output {
     match output {
         failure_detector::Output::Send { to, kind, body } => Output::Send { to, kind, body },
         failure_detector::Output::StateChanged { member, state } => Output::StateChanged { member, state },
--- a/gateway/src/peers/members/tests.rs
+++ b/gateway/src/peers/members/tests.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn who_takes_over_a_socket_votes_only_when_earlier_grants_have_run_out() {
+fn after_a_socket_takeover_no_vote_is_cast_until_earlier_grants_have_expired() {
     let start = MonotonicTime::MIN + Duration::from_secs(100);
     let take_over = start + Duration::from_secs(10);
     let mut members = Members::new(start, FleetFile::default(), &settings());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_reload_with_the_same_places_keeps_what_is_known_and_other_places_begin_anew() {
+fn a_reload_keeps_the_state_for_the_same_topology_and_resets_it_for_another() {
     let start = MonotonicTime::MIN + Duration::from_secs(100);
     let reload = start + Duration::from_secs(10);
     let mut members = Members::new(start, FleetFile::default(), &settings());
--- a/gateway/src/store_overrides.rs
+++ b/gateway/src/store_overrides.rs
@@ -25,7 +25,7 @@
 
 impl StoreOverrides {
     /// Takes in the endpoint list or a change of it, and lays the documents over its entries.
-    pub fn lay_over(&mut self, scope: ListScope, entries: &mut [Endpoint]) {
+    pub fn apply(&mut self, scope: ListScope, entries: &mut [Endpoint]) {
         if self.by_server.is_empty() {
             return;
         }
@@ -52,15 +52,15 @@
         documents: &BTreeMap<String, StoreAttributes>,
         current: impl Fn(ServerId) -> Option<&'a Endpoint>,
     ) -> Vec<Endpoint> {
-        let before = std::mem::take(&mut self.by_server);
+        let previous = std::mem::take(&mut self.by_server);
         let mut changed: BTreeMap<ServerId, Endpoint> = BTreeMap::new();
-        for (id, document) in &before {
+        for (id, document) in &previous {
             changed.extend(document.listed.clone().map(|entry| (*id, entry)));
         }
         for (name, attributes) in documents {
             let id = endpoint_id(name);
-            let own = before.get(&id).map(|document| document.listed.clone());
-            let listed = own.unwrap_or_else(|| current(id).cloned()).filter(|entry| entry.name == *name);
+            let known = previous.get(&id).map(|document| document.listed.clone());
+            let listed = known.unwrap_or_else(|| current(id).cloned()).filter(|entry| entry.name == *name);
             changed.extend(listed.iter().map(|entry| (id, attributes.lay_over(entry))));
             let document = Override { name: name.clone(), attributes: attributes.clone(), listed };
             self.by_server.insert(id, document);
--- a/gateway/src/store_overrides/tests.rs
+++ b/gateway/src/store_overrides/tests.rs
@@ -14,12 +14,12 @@
     Endpoint { host, name: name.into(), dial: None }
 }
 
-fn weight(weight: f64) -> StoreAttributes {
+fn weight_attribute(weight: f64) -> StoreAttributes {
     StoreAttributes { weight: Some(weight), ..StoreAttributes::default() }
 }
 
 fn documents(entries: &[(&str, f64)]) -> BTreeMap<String, StoreAttributes> {
-    entries.iter().map(|(name, value)| (name.to_string(), weight(*value))).collect()
+    entries.iter().map(|(name, value)| (name.to_string(), weight_attribute(*value))).collect()
 }
 
 /// A list with overrides between it and what is applied, as the gateway joins them.
@@ -31,7 +31,7 @@
 
 impl Applied {
     fn list(&mut self, scope: ListScope, mut entries: Vec<Endpoint>) {
-        self.overrides.lay_over(scope, &mut entries);
+        self.overrides.apply(scope, &mut entries);
         if scope.is_complete() {
             self.stores.clear();
         }
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_document_stands_over_the_list_until_it_is_withdrawn() {
+fn a_document_overrides_the_list_until_it_is_withdrawn() {
     let mut applied = Applied::default();
     applied.list(ListScope::Complete, vec![endpoint("a-1", 4.0, State::Up), endpoint("a-2", 4.0, State::Up)]);
     assert_eq!(applied.documents(&[("a-1", 7.0)]), 1, "only the one that it is about");
--- a/gateway/src/upgrade/discovery.rs
+++ b/gateway/src/upgrade/discovery.rs
@@ -82,10 +82,10 @@
         }
         let ejections_file = DurableFile::new(folder.join(format!("{file_prefix}stores")));
         ejections_file.remove_leftovers();
-        let mut paths = socket_paths(folder, &file_prefix).map_err(|source| unusable(folder, source))?;
+        let mut paths = socket_paths(folder, &file_prefix).map_err(|source| unusable_path(folder, source))?;
         paths.retain(|path| *path != own_path);
         let FoundProcesses { peers, frames } = request_states(&paths, name);
-        let listener = listen(&own_path).map_err(|source| unusable(&own_path, source))?;
+        let listener = listen(&own_path).map_err(|source| unusable_path(&own_path, source))?;
         // Read by the clock that is shared with the other processes, if there are any.
         let saved_ejections =
             ejections_file.load(MAX_FRAME_LENGTH, ejections_file::decode).unwrap_or_default();
@@ -94,7 +94,7 @@
     }
 }
 
-fn unusable(path: &Path, source: io::Error) -> DiscoveryError {
+fn unusable_path(path: &Path, source: io::Error) -> DiscoveryError {
     DiscoveryError::Unusable { path: path.to_path_buf(), source }
 }
 
