--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,18 +1,18 @@
-//! Why the adapter ends early. The texts are what the simulator's users read.
+//! Errors that end the adapter. Their messages are shown to users of the simulator.
 use larchway::settings::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why a line cannot be used.
+/// An error in an input line.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum LineError {
-    /// A part of it is no field.
+    /// A part of the line is not a field of the form `name=value`.
     #[error("{0:?} is not name=value")]
     NotAField(String),
-    /// A field is missing.
+    /// A required field is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// The text of a field cannot be read as its type.
+    /// The text of a field cannot be parsed as its type.
     #[error("{key} cannot be {value:?}")]
     InvalidText {
         /// The field.
@@ -28,57 +28,57 @@
         /// Its number.
         value: f64,
     },
-    /// An attempt ended in a way that does not exist.
+    /// The outcome code of an attempt is unknown.
     #[error("outcome cannot be {0}")]
     UnknownOutcome(u64),
-    /// The settings of a new instance cannot be used.
+    /// The settings of a new instance cannot be parsed.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A row comes without the head of its list.
+    /// A row arrived without a list.
     #[error("a row belongs to a list")]
     RowWithoutList,
-    /// Another line comes before all rows of a list.
+    /// Another line arrived before all rows of a list.
     #[error("rows of a list are missing")]
     RowsMissing,
-    /// A batch is earlier than the one before.
+    /// A batch has an earlier time than the one before.
     #[error("the clock went back")]
     ClockWentBack,
-    /// An instance has no name.
+    /// The name of an instance is empty.
     #[error("who is empty")]
     EmptyInstance,
-    /// The name of the line is unknown.
+    /// The message name is unknown.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
-    /// A batch begins within another.
+    /// A batch begins before the last one has ended.
     #[error("a batch is open")]
     BatchOpen,
-    /// A line stands outside of batches.
+    /// A line is outside of a batch.
     #[error("no batch is open")]
     NoBatchOpen,
     /// No instance was selected in this batch.
     #[error("no instance is selected")]
     NoInstanceSelected,
-    /// The instance of this name does not exist.
+    /// No instance with this name exists.
     #[error("{0} was never created")]
     UnknownInstance(String),
 }
 
-/// Why the adapter ends before its input does.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The input cannot be read.
     #[error("cannot read input: {0}")]
     Read(#[source] io::Error),
-    /// The input ended before its last batch did.
+    /// The input ended within a batch.
     #[error("input ended within a batch")]
     EndedWithinBatch,
     /// A line is not UTF-8.
     #[error("malformed line (not UTF-8): {0}")]
     NotUtf8(String),
-    /// A line cannot be used.
+    /// A line is malformed.
     #[error("malformed line ({error}): {line}")]
     Malformed {
-        /// What is wrong.
+        /// The error.
         error: LineError,
         /// The line.
         line: String,
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the simulator's line protocol on standard input and output for many independent routers.
+//! An adapter that runs many independent routers behind the simulator's line protocol on standard input and output.
 mod error;
 mod wire;
 
@@ -11,11 +11,11 @@
 use std::process::ExitCode;
 use wire::{Line, Message};
 
-/// All routers hosted here, by name. They share nothing.
+/// All routers of this process by instance name. They share no state.
 type Routers = BTreeMap<String, Router>;
 
 fn main() -> ExitCode {
-    // A panic is reported on the wire; the default hook would repeat it on standard error.
+    // Panics are reported on the wire; the default hook would also print them to standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match serve(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
@@ -26,6 +26,7 @@
     }
 }
 
+/// Handles the lines of the input until it ends.
 fn serve(mut input: impl BufRead, mut out: impl Write) -> Result<(), ServeError> {
     let (mut routers, mut actions) = (Routers::new(), Vec::new());
     let (mut now, mut in_batch) = (MonotonicTime::MIN, false);
@@ -79,12 +80,13 @@
     }
 }
 
-/// The text of a panic, on one line.
+/// The message of a panic, on one line.
 fn text_of(cause: &(dyn Any + Send)) -> String {
     let text = cause.downcast_ref::<String>().map(String::as_str);
     text.or(cause.downcast_ref::<&str>().copied()).unwrap_or("panic").replace('\n', " ")
 }
 
+/// Writes the actions of an instance, and the message of a panic if there was one.
 fn write_actions(out: &mut impl Write, who: &str, actions: &[Action], bug: Option<String>) -> io::Result<()> {
     if actions.is_empty() && bug.is_none() {
         return Ok(());
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! Lines of the simulator's protocol, in and out.
+//! Parses and writes the lines of the simulator's protocol.
 use crate::error::LineError;
 use larchway::settings::{self, micros, span_of_millis};
 use larchway::{
@@ -9,38 +9,38 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A line taken apart: its name and its fields.
+/// A parsed line: its message name and its fields.
 pub struct Line<'a> {
     name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
-/// What a line says.
+/// The meaning of a line.
 pub enum Message<'a> {
-    /// A batch begins at this time.
+    /// A batch of lines begins, at this time.
     Batch(MonotonicTime),
     /// The batch ends.
     Flush,
-    /// The next lines are for this instance.
+    /// The following lines are for this instance.
     Select(&'a str),
-    /// A new instance.
+    /// A new instance, with its settings and seed.
     Create(Box<Settings>, u64),
     /// The instance was killed.
     Crash,
-    /// Something that happened to the instance.
+    /// An event for the instance.
     Event(Event),
-    /// Nothing yet: more lines belong to it, or the line concerns no decision.
+    /// No event: further lines belong to the same message, or the message affects no decision.
     More,
 }
 
-/// A list whose rows are still coming.
+/// An endpoint list whose rows have not all arrived.
 pub struct Rows {
     missing: usize,
     members: Members,
 }
 
 impl<'a> Line<'a> {
-    /// Takes a line apart; a field named `info` or `noteText` extends to the end of the line.
+    /// Parses a line; a field named `info` or `noteText` extends to the end of the line.
     pub fn parse(line: &'a str) -> Result<Self, LineError> {
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let mut fields = Vec::new();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Numbers set apart by commas; none where the field is absent.
+    /// Comma-separated numbers; empty if the field is absent.
     fn numbers(&self, key: &'static str) -> Result<Vec<f64>, LineError> {
         let invalid = |value: &str| LineError::InvalidText { key, value: value.to_string() };
         let number = |value: &str| value.parse().map_err(|_| invalid(value));
@@ -143,7 +143,7 @@
     }
 }
 
-/// The head of a list of servers: the list, if no rows follow.
+/// Parses the head of an endpoint list; returns the list if it has no rows.
 fn view(line: &Line, rows: &mut Option<Rows>) -> Result<Option<Members>, LineError> {
     let scope = match line.required("scope")? {
         "changes" => Scope::Changes,
@@ -160,7 +160,7 @@
     Ok(None)
 }
 
-/// A server of a list: the list, if it is the last one.
+/// Parses a row of an endpoint list; returns the list if it was the last row.
 fn row(line: &Line, rows: &mut Option<Rows>) -> Result<Option<Members>, LineError> {
     let Some(open) = rows.as_mut() else { return Err(LineError::RowWithoutList) };
     open.members.hosts.push(host(line)?);
@@ -199,7 +199,7 @@
 }
 
 impl<'a> Message<'a> {
-    /// Reads what a line says; the rows of a list are gathered in `rows` until all are there.
+    /// Interprets a line. The rows of a list are collected in `rows` until it is complete.
     pub fn read(line: &Line<'a>, now: MonotonicTime, rows: &mut Option<Rows>) -> Result<Self, LineError> {
         if rows.is_some() && line.name != "ROW" {
             return Err(LineError::RowsMissing);
@@ -238,7 +238,7 @@
                 group: line.maybe::<f64>("batchId")?.unwrap_or(0.0) as u64,
                 object: line.maybe("object")?,
             },
-            // Nothing here probes or talks to other routers, so these carry nothing new.
+            // Ignored: routers send no health checks and do not communicate with each other here.
             "PING_RESULT" | "FROM_PEER" => return Ok(Message::More),
             other => return Err(LineError::UnknownMessage(other.to_string())),
         };
@@ -246,7 +246,7 @@
     }
 }
 
-/// Milliseconds with three decimals, from whole microseconds.
+/// Formats microseconds as milliseconds with three decimals.
 fn millis(micros: u64) -> String {
     format!("{}.{:03}", micros / 1000, micros % 1000)
 }
@@ -263,7 +263,7 @@
     writeln!(out, " rank={} bits={bits}", get.rank)
 }
 
-/// Writes one action as a line of a reply.
+/// Writes an action as a line of the reply.
 pub fn write_action(out: &mut impl Write, action: &Action) -> io::Result<()> {
     match action {
         Action::Get(get) => write_get(out, get),
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Runs the adapter on short transcripts.
+//! Runs the adapter on short protocol transcripts.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/examples/request_cost.rs
+++ b/examples/request_cost.rs
@@ -1,39 +1,39 @@
-//! What a request costs the decision module, by the stores listed: processor time, entries touched and memory.
-//! `cargo run --release --example request_cost`
+//! Measures the cost of a request in the decision module by the number of listed stores: processor time, entries
+//! touched and memory. Run with `cargo run --release --example request_cost`
 use larchway::*;
 use std::time::{Duration, Instant};
 
-/// Stores listed.
+/// Numbers of listed stores to measure.
 const SIZES: [u64; 5] = [12, 120, 1_200, 4_900, 12_000];
-/// Stores of a site.
+/// Number of stores of a site.
 const STORES_PER_SITE: u64 = 6;
-/// Every so many stores one is a parent.
+/// One of this many stores is a parent.
 const PARENT_EVERY: u64 = 5;
-/// Parents where their number does not grow with the stores.
+/// Number of parents for [`Parents::Few`].
 const FEW_PARENTS: u64 = 3;
 const OWN_SITE: usize = 0;
 const PARENT: usize = 1;
 const ORIGIN: usize = 2;
 const ORIGIN_ID: ServerId = 1;
-/// Requests that are measured, after as many that are not.
+/// Number of measured requests, which follow as many warm-up requests.
 const REQUESTS: u64 = 100_000;
 const OBJECTS: u64 = 20_000;
 /// Time between two requests.
 const INTERVAL: Duration = Duration::from_millis(25);
 const LATENCY: Duration = Duration::from_millis(20);
-/// List changes that are measured.
+/// Number of measured list changes.
 const CHANGES: u64 = 10_000;
 
-/// Which parents are listed.
+/// How many parents are listed.
 #[derive(Debug, Clone, Copy)]
 enum Parents {
-    /// A part of all stores.
+    /// A fixed share of all stores.
     Growing,
-    /// As many whatever the stores listed.
+    /// A fixed number, whatever the number of stores.
     Few,
 }
 
-/// What one size showed.
+/// The measurements for one number of stores, for each request or list change.
 struct Shown {
     request_ns: f64,
     servers: f64,
@@ -65,7 +65,7 @@
         Parents::Few => at < PARENT_EVERY * FEW_PARENTS,
     };
     let kind = if is_parent && counts { PARENT } else { 0 };
-    // One that would be a parent is never the own site's, so that this site has as many caches in both.
+    // A store that may be a parent is never in the own site, so that this site has the same caches in both cases.
     let site = (at / STORES_PER_SITE) as usize;
     let zone = if is_parent && site == OWN_SITE { 1 } else { site };
     Host { server: mix(at + 2), zone, kind, weight: 4.0, ..Host::default() }
@@ -112,7 +112,7 @@
     began.elapsed().as_nanos() as f64 / CHANGES as f64
 }
 
-/// A router with its list.
+/// A router with a full endpoint list.
 fn listed(stores: u64, parents: Parents) -> Router {
     let mut hosts = vec![Host { server: ORIGIN_ID, zone: 1, kind: ORIGIN, weight: 4.0, ..Host::default() }];
     hosts.extend((0..stores).map(|at| store(at, parents)));
@@ -122,7 +122,7 @@
     router
 }
 
-/// Bytes that routers with these lists take for a store; to be taken before anything else was freed.
+/// Resident bytes for each listed store. Must be measured before other memory is freed, which would be reused.
 fn bytes_each(parents: Parents) -> u64 {
     let before = resident_bytes();
     let routers: Vec<Router> = SIZES.iter().map(|&stores| listed(stores, parents)).collect();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,115 +1,114 @@
-//! The terms in which a router and the decision module speak: settings, events and actions. Moments are
-//! [`MonotonicTime`], spans [`Duration`] in whole microseconds.
+//! The interface between a caller and the decision module: settings, events and actions. Points in time are
+//! [`MonotonicTime`], time spans are [`Duration`] in whole microseconds.
 use crate::time::{micros_f64, MonotonicTime};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An integer count of microseconds, a moment of the monotonic clock or a span: for numbers read from
-/// settings and wires before they are typed, and for the laboratory. All else takes [`MonotonicTime`] and
-/// [`Duration`].
+/// An untyped number of microseconds, either a point in time or a time span. Used for numbers as read from
+/// settings and wires, and by the laboratory; all other code uses [`MonotonicTime`] and [`Duration`].
 pub type Micros = u64;
-/// A request, as the caller numbers it.
+/// Identifier of a request, assigned by the caller.
 pub type RequestId = u64;
-/// A cache, parent or origin.
+/// Identifier of a server: a cache, parent or origin.
 pub type ServerId = u64;
-/// What is asked for, whatever its part.
+/// Identifier of an object; all parts of an object share it.
 pub type ObjectId = u64;
 
-/// What a retry of a request does.
+/// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Effect {
-    /// A retry does no harm.
+    /// The request is idempotent: it may be retried freely.
     #[default]
     Idempotent,
-    /// Retries are dropped by an idempotency key, within a group of servers, for a while.
+    /// The servers of a [`Group`] drop repeats by an idempotency key, for the window [`Class::window`].
     IdempotencyKey,
-    /// A retry acts again.
+    /// A retry executes the request again, so it is not retried once it may have run.
     Unsafe,
 }
 
-/// Which servers drop repeats of a keyed request.
+/// The servers that recognize and drop repeats of a request with an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Group {
-    /// All of them.
+    /// All servers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The servers of the zone of the first attempt that may have run.
     Zone,
-    /// Those of one cell.
+    /// The servers of the cell of the first attempt that may have run.
     Cell,
 }
 
-/// One class of requests.
+/// Settings of one class of requests.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Class {
-    /// The latency objective: answers within this span have the full value.
+    /// The latency objective: answers within this time have the full value.
     pub latency_objective: Duration,
-    /// The latency objective grows by this multiple of the sending time.
+    /// Multiple of the expected sending time that is added to the latency objective.
     pub objective_stretch: f64,
-    /// What a repeat does.
+    /// Whether requests of the class may be executed more than once.
     pub effect: Effect,
-    /// Who drops repeats of a keyed request.
+    /// The servers that drop repeats by idempotency key.
     pub group: Group,
-    /// For how long they do, from the first send that may have run.
+    /// How long these servers remember a key, counted from the first attempt that may have run.
     pub window: Duration,
-    /// How long a copy is fresh; zero for ever.
+    /// How long a copy is fresh; zero: without limit.
     pub fresh: Duration,
-    /// How much older a copy may be when asked for.
+    /// How much longer a stale copy may be served after a failed attempt.
     pub grace: Duration,
-    /// Never cached: it runs at the origin.
+    /// Whether answers are never cached, so that each request runs at the origin.
     pub uncacheable: bool,
-    /// Attempts for one request at most; 0: as [`Settings::max_attempts`]. A request retains those of its
-    /// class.
+    /// Maximum number of attempts for one request; 0: [`Settings::max_attempts`] applies. A request keeps the
+    /// value of its class when settings change.
     pub attempts: u64,
-    /// What else is allowed for a request, which it retains likewise; none: as the settings in force say.
+    /// Further limits, which a request keeps likewise; none: those of the settings in force apply.
     pub limits: Option<Limits>,
 }
 
-/// What settings allow for a request.
+/// Limits on the attempts and the rejection of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Limits {
-    /// Whether an attempt may be withdrawn.
+    /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// Whether two attempts may be out at once.
+    /// Whether a hedged request may be sent: two attempts in flight at once.
     pub duplicates: bool,
-    /// The longest retry-after that a client respects; zero if it is given none.
+    /// The longest Retry-After that clients respect; zero if none is sent to them.
     pub max_retry_after: Duration,
 }
 
-/// Which other caches may supply a fill.
+/// Which sibling caches may supply a fill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Siblings {
-    /// None.
+    /// No siblings.
     #[default]
     None,
-    /// Those of the same location.
+    /// Caches of the same location.
     Location,
-    /// Any.
+    /// Any cache.
     Any,
 }
 
-/// Shares of what routers divide among themselves, from 0 to 1.
+/// A router's quotas of the capacity that routers share, as fractions from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shares {
-    /// Of what all routers divide.
+    /// Share of what all routers use, such as parents.
     pub of_all: f64,
-    /// Of what those of the own zone divide.
+    /// Share of what the routers of the own zone use: its caches.
     pub of_own_zone: f64,
 }
 
-/// What the router may use of all that is divided among the routers, where that is lent to it.
+/// The router's leased quota of the shared capacity, and the one that applies without a lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quotas {
-    /// Until when the lent shares hold; from then on, those of `unleased` do.
+    /// When the lease expires; from then on `unleased` applies.
     pub until: MonotonicTime,
-    /// The lent shares.
+    /// The shares while the lease is valid.
     pub leased: Shares,
-    /// The shares of a router to which nothing is lent.
+    /// The shares of a router without a valid lease.
     pub unleased: Shares,
 }
 
 impl Quotas {
-    /// What may be used now.
+    /// The shares that apply at this time.
     pub fn now(&self, now: MonotonicTime) -> Shares {
         if now < self.until {
             self.leased
@@ -119,119 +118,121 @@
     }
 }
 
-/// What the router knows from the start.
+/// Settings of a router, known before its first event.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Routers in service.
+    /// Number of routers in service.
     pub routers: u64,
-    /// This router's number among them, the same after a restart; none where the settings do not say.
+    /// This router's index among them, which survives restarts; none if the settings do not state it.
     pub router_index: Option<u64>,
     /// Zone of this router.
     pub zone: usize,
-    /// By zone, how many routers serve it.
+    /// By zone, the number of routers that serve it.
     pub zone_routers: Vec<u64>,
-    /// The shares lent to this router; none: it goes by the numbers of routers.
+    /// This router's quotas; none: capacity is divided evenly among the configured numbers of routers.
     pub shares: Option<Quotas>,
     /// Request classes.
     pub classes: Vec<Class>,
-    /// Whether changes of the servers must be polled for.
+    /// Whether the caller must be told by [`Action::Watch`] to poll for changes of the endpoint list.
     pub poll_endpoints: bool,
-    /// Kind of the parents, if there are any.
+    /// [`Host::kind`] of parents, if there are any.
     pub parent_kind: Option<usize>,
-    /// Kind of the origin.
+    /// [`Host::kind`] of origins, if there are any.
     pub origin_kind: Option<usize>,
-    /// KB a second of one transfer to a client at most; 0 if unknown.
+    /// Highest rate of one transfer to a client in KB/s; 0 if unknown.
     pub flow_kb_per_s: f64,
-    /// KB a second that the own location's link for fills carries; 0 if unknown.
+    /// Capacity of the own location's link for fills in KB/s; 0 if unknown.
     pub link_kb_per_s: f64,
-    /// Whether a listed weight stands for a size.
+    /// Whether the listed weight of a server states its capacity.
     pub weighted: bool,
-    /// Which caches may supply a fill.
+    /// Which sibling caches may supply a fill.
     pub siblings: Siblings,
-    /// Whether a request may wait for a fill that runs.
+    /// Whether a request may join a fill that is already running.
     pub joins: bool,
-    /// Whether parents and the origin take requests too.
+    /// Whether requests may go directly to a parent or the origin when no cache is available.
     pub direct: bool,
-    /// Whether an attempt may be withdrawn.
+    /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// Whether two attempts of one request may be out at once.
+    /// Whether a hedged request may be sent: two attempts of one request in flight at once.
     pub duplicates: bool,
-    /// Attempts for one request at most.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u64,
-    /// The longest retry-after that a client respects; zero if it is given none.
+    /// The longest Retry-After that clients respect; zero if none is sent to them.
     pub max_retry_after: Duration,
-    /// A cold cache falls over at this multiple of what it can do,
+    /// Multiple of its present capacity at which a cache that is warming up fails from overload, if it is
+    /// sent that much work within [`Settings::overload_span`].
     pub overload_multiple: f64,
-    /// sent to it for this long.
+    /// The time span over which the work sent to a server counts towards an overload.
     pub overload_span: Duration,
-    /// A cache starts with this share of its capacity or more
+    /// Least share of its capacity that a cache can provide right after its start.
     pub slow_start_share: f64,
-    /// and is warm by then.
+    /// Time after its start within which a cache reaches its full capacity.
     pub slow_start_span: Duration,
-    /// The same three for parents.
+    /// Like [`Settings::overload_multiple`], for parents.
     pub parent_overload_multiple: f64,
-    /// Share of its link that a parent gives at its start.
+    /// Share of its link's capacity that a parent can provide right after its start.
     pub parent_slow_start_share: f64,
-    /// By then it gives all.
+    /// Time after its start within which a parent reaches its full capacity.
     pub parent_slow_start_span: Duration,
-    /// Within this time of a purge older copies are gone everywhere.
+    /// Time after a purge within which older copies are gone from all servers.
     pub purge_done: Duration,
-    /// Names of the values in reports of load.
+    /// Names of the values in load reports, in their order.
     pub report: Vec<String>,
 }
 
 impl Class {
-    /// Microseconds within which an answer of this sending time (µs) meets the latency objective.
+    /// The latency objective in microseconds for an answer with this expected sending time (µs).
     pub(crate) fn latency_objective_of(&self, work: f64) -> f64 {
         micros_f64(self.latency_objective) + self.objective_stretch * work
     }
 }
 
 impl Settings {
-    /// Attempts for one request of a class at most.
+    /// Maximum number of attempts for one request of a class.
     pub fn attempts_of(&self, class: &Class) -> usize {
         (if class.attempts > 0 { class.attempts } else { self.max_attempts }) as usize
     }
 
-    /// What is allowed for a request of the class at this place.
+    /// The limits for requests of the class with this index.
     pub fn limits_of(&self, class: usize) -> Limits {
         let (cancel, duplicates, max_retry_after) = (self.cancel, self.duplicates, self.max_retry_after);
         let own = self.classes.get(class).and_then(|class| class.limits);
         own.unwrap_or(Limits { cancel, duplicates, max_retry_after })
     }
 
-    /// What a cache's report says of its location's link: transfers over those that fit at full pace.
+    /// The load of the location's link from a cache's load report, as transfers in flight over those that the
+    /// link carries at full pace; none if the report lacks a valid value (`x1`).
     pub fn reported_link_load(&self, load: &[f64]) -> Option<f64> {
         let at = self.report.iter().position(|name| name == "x1")?;
         load.get(at).copied().filter(|v| v.is_finite() && *v >= 0.0)
     }
 }
 
-/// Smaller shares count as this one, so that a divisor is finite.
+/// Lower bound of a share, which keeps the divisor finite.
 const MIN_SHARE: f64 = 1e-6;
 
-/// How a server warms that has started, and what pushes it over.
+/// Slow start of a server: how its capacity grows after a start, and the overload at which it fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStart {
-    /// Share of its capacity that it can give at first.
+    /// Share of its capacity that it can provide right after its start.
     pub from: f64,
-    /// In which time it can give all of it.
+    /// Time until it can provide all of its capacity.
     pub span: Duration,
-    /// The multiple of what it can give that makes it fall.
+    /// Multiple of its present capacity at which it fails from overload.
     pub multiple: f64,
 }
 
-/// Which settings of slow start a server has.
+/// Selects the slow start settings of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tier {
-    /// Those of caches.
+    /// The settings of caches.
     Cache,
-    /// Those of parents, which origins have too.
+    /// The settings of parents, also used for origins.
     Parent,
 }
 
 impl Settings {
-    /// How a server of this tier warms.
+    /// The slow start settings of a tier.
     pub fn slow_start(&self, tier: Tier) -> SlowStart {
         match tier {
             Tier::Cache => SlowStart {
@@ -247,9 +248,9 @@
         }
     }
 
-    /// Among how many this router's share is one, now: of what the routers of a zone divide, or all of them.
-    /// The time is looked at with each use: a router that stood still must not go by a share that has lapsed
-    /// meanwhile.
+    /// The number by which shared capacity is divided to get this router's quota: of the capacity used by the
+    /// routers of a zone, or by all routers without one. Checks the lease at each call: a router that was
+    /// suspended must not use a quota whose lease has expired meanwhile.
     pub fn quota_divisor(&self, now: MonotonicTime, zone: Option<usize>) -> f64 {
         let shares = self.shares.map(|shares| shares.now(now));
         match (shares, zone) {
@@ -260,7 +261,7 @@
         }
     }
 
-    /// How many routers serve a zone.
+    /// Number of routers that serve a zone, at least 1.
     pub fn routers_of(&self, zone: usize) -> f64 {
         self.zone_routers.get(zone).map_or(1.0, |&n| n.max(1) as f64)
     }
@@ -301,60 +302,60 @@
     }
 }
 
-/// A request that has come in.
+/// A client's request.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
-    /// Its number.
+    /// Its identifier, unique among open requests.
     pub id: RequestId,
-    /// Its class, by place in the settings.
+    /// Index of its class in [`Settings::classes`].
     pub class: usize,
-    /// What it asks for.
+    /// The requested object.
     pub object: ObjectId,
-    /// Which part of it.
+    /// The requested part of the object.
     pub part: u64,
-    /// The group that a purge may name.
+    /// The purge group of the object.
     pub group: u64,
-    /// For how long the client waits.
+    /// How long the client waits for an answer.
     pub ttl: Duration,
-    /// Its size in KB, 0 if unknown.
+    /// Size of the answer in KB, 0 if unknown.
     pub size_kb: f64,
-    /// Whether the origin is to be spared a fill for it now.
+    /// Whether parents may only serve it from cache, to spare the origin a fill.
     pub spare_origin: bool,
 }
 
-/// What a list says of a server.
+/// State of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum State {
     /// Takes requests.
     #[default]
     Up,
-    /// Ends its work; gets nothing new.
+    /// Finishes its requests in flight and gets no new ones.
     Draining,
-    /// Withdrawn.
+    /// Removed from service.
     Removed,
 }
 
-/// One entry of a list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Host {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: usize,
-    /// Its kind.
+    /// Its kind: cache, parent or origin, by the numbers in [`Settings`].
     pub kind: usize,
-    /// Its cell.
+    /// Its cell, which may bound an idempotency key (see [`Group::Cell`]).
     pub cell: u64,
     /// Its state.
     pub state: State,
-    /// Its size, where lists state it.
+    /// Its capacity in transfers at full pace, if [`Settings::weighted`].
     pub weight: f64,
-    /// When it last started; [`Host::STARTED_LONG_AGO`] where that is not known.
+    /// When it last started; [`Host::STARTED_LONG_AGO`] if unknown.
     pub started: MonotonicTime,
 }
 
 impl Host {
-    /// The start of a server that no list states, or that is no matter for slow start any more.
+    /// Start time of a server whose start is unknown, or too long ago to matter for slow start.
     pub const STARTED_LONG_AGO: MonotonicTime = MonotonicTime::MIN;
 
     /// When it last started, if that is known.
@@ -363,87 +364,88 @@
     }
 }
 
-/// A class that new settings have put into a slot, by the index of the class in [`Settings::classes`].
+/// A class that changed its slot, or was added, with new settings. Slots are indexes in
+/// [`Settings::classes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplacedClass {
-    /// Its slot.
+    /// Its slot in the new settings.
     pub slot: usize,
-    /// The slot whose evidence it begins with, under the settings before; none if the class is new.
+    /// The slot in the former settings whose observations it takes over; none if the class is new.
     pub predecessor: Option<usize>,
 }
 
-/// What a list covers.
+/// What an endpoint list update covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// Only what changed.
+    /// Only the servers that changed.
     Changes,
-    /// Everything: what is absent is gone.
+    /// All servers: those not named are removed.
     Full,
-    /// No list could be had; the last one holds.
+    /// The list could not be read; the last one stays in force.
     Failed,
 }
 
-/// A change of the list of servers.
+/// An update of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Members {
-    /// What the list covers.
+    /// What the update covers.
     pub scope: Scope,
-    /// Its entries.
+    /// The entries of the update.
     pub hosts: Vec<Host>,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// Answered.
+    /// It was answered.
     Ok,
     /// The server answered with an error.
     Error,
-    /// Rejected before it was read, by the server or its source.
+    /// The server or its source rejected the request before reading it.
     Full,
-    /// No answer in time.
+    /// No answer arrived in time.
     Timeout,
-    /// No connection.
+    /// No connection could be made.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke while the attempt was in flight.
     Reset,
-    /// Withdrawn.
+    /// The attempt was cancelled.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
-    /// Nothing suitable held, there or at its source.
+    /// Neither the server nor its source has a suitable copy.
     Miss,
 }
 
 impl Status {
-    /// Whether this proves that the request did not run.
+    /// Whether the status proves that the request was not executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Status::Full | Status::ConnectFailed | Status::NeverSent | Status::Miss)
     }
 }
 
-/// What an answer says of how it was produced.
+/// How an answer was produced, as reported by the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Note {
-    /// Nothing.
+    /// Not reported.
     None,
-    /// From a copy held.
+    /// Served from a cached copy.
     Hit,
     /// Filled from the source.
     Filled,
-    /// Filled by way of the origin.
+    /// Filled from the origin.
     FilledByOrigin,
-    /// Joined a fill that ran.
+    /// Joined a fill that was already running.
     Joined,
-    /// From a copy past its fresh time.
+    /// Served from a stale copy.
     Stale,
-    /// The source refused.
+    /// The source rejected the fill.
     SourceRefused,
-    /// The source was not reached, broke off or ran out of time.
+    /// The source was not reached, broke off the fill or timed out.
     SourceLost,
-    /// The source lacks the object.
+    /// The source does not have the object.
     SourceLacks,
-    /// No place for a fill.
+    /// The server had no free slot for a fill.
     NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
@@ -452,152 +454,154 @@
 /// Whether a request is still to be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
-    /// It is.
+    /// It has no final answer yet.
     Open,
     /// It has its final answer, or its client has left.
     Closed,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// The request.
     pub id: RequestId,
-    /// Which of its attempts, from 0.
+    /// Index of the attempt within its request, from 0.
     pub attempt: u64,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: Status,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end.
     pub latency: Duration,
     /// Whether the request is still to be answered.
     pub request: RequestState,
-    /// How the answer came about.
+    /// How the answer was produced.
     pub note: Note,
-    /// The cache's report of its load, in the order of [`Settings::report`]; empty: none came.
+    /// The cache's load report, in the order of [`Settings::report`]; empty if there was none.
     pub load: Vec<f64>,
-    /// Of the latency, the wait for the source's first byte; zero where it is unknown.
+    /// The part of the latency spent waiting for the source's first byte; zero if unknown.
     pub waited: Duration,
 }
 
-/// What happens to a router.
+/// An input of a router.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A request has come in.
+    /// A client has sent a request.
     Request(Request),
-    /// The list of servers has changed.
+    /// The endpoint list has changed.
     Members(Members),
     /// An attempt has ended.
     Outcome(Outcome),
-    /// A streamed answer has begun: the attempt is the client's now.
+    /// The answer to a request is being streamed to the client, so its attempt is neither retried nor
+    /// cancelled any more.
     Started(RequestId),
-    /// The client has left.
+    /// The client of the request has disconnected.
     ClientLeft(RequestId),
-    /// A timer has fallen due.
+    /// A timer has expired; carries the mark given in [`Action::Timer`].
     Timer(u64),
-    /// Older copies of an object, or of all objects of a group, are out of date.
+    /// An object, or all objects of a group, were purged: older copies must not be served.
     Purged {
         /// Time since the purge.
         age: Duration,
-        /// The group.
+        /// The purged group, if `object` is none.
         group: u64,
-        /// The object, or none for all of the group.
+        /// The purged object; none: all objects of the group.
         object: Option<ObjectId>,
     },
-    /// Purges up to now may have been missed: for some time, copies as old as a purge takes to be done
-    /// everywhere will not do.
+    /// Purges up to now may have been missed. For [`Settings::purge_done`], copies at least as old as that
+    /// time are not accepted.
     PurgesMissed,
-    /// The weights of parents have changed; none: no topology is configured.
+    /// The weights of parents have changed; none if no topology of the hierarchy is configured.
     ParentWeights(Option<ParentWeights>),
-    /// By server, the share of its objects that goes to the next ranked servers from now on; those left out
-    /// retain all theirs.
+    /// By server, the share of its objects that moves to the next ranked servers. A server that is not named
+    /// keeps all of its objects.
     OffloadShares(BTreeMap<ServerId, f64>),
-    /// Another router found that a server fails. The own next attempts decide, but sooner.
+    /// Another router reports a server as failing. The server is ejected only after a failure seen by this
+    /// router, but the first one is enough.
     Suspected(ServerId),
-    /// The listed processes of these servers are known to have started earlier than the list said.
+    /// The listed processes of these servers turned out to have started earlier than the list stated.
     StartsDated(Vec<DatedStart>),
 }
 
-/// When the listed process of a server started, as it is known by now.
+/// A more precise start time of a listed server's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DatedStart {
     /// The server.
     pub server: ServerId,
-    /// The start.
+    /// When the process started.
     pub started: MonotonicTime,
 }
 
-/// A server and what it weighs among its like.
+/// A server and its weight in rendezvous hashing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerWeight {
     /// The server.
     pub server: ServerId,
-    /// Its share of the objects is proportional to it.
+    /// The server's share of the objects is proportional to its weight.
     pub weight: f64,
 }
 
-/// Shares of the objects among parents, where a topology of the hierarchy is configured. Without it all
-/// listed parents share them.
+/// Weights of the parents, where a topology of the hierarchy is configured. Without one, all listed parents
+/// share the objects.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ParentWeights {
-    /// By parent, its weight now; one that is left out has no objects.
+    /// The weights now in force; a parent that is not named has no objects.
     pub weights: Vec<ServerWeight>,
-    /// The weights before the present move; none where nothing moves.
+    /// The weights before the migration in progress; empty if there is none.
     pub previous: Vec<ServerWeight>,
-    /// Share of the objects whose home of before is still asked.
+    /// Share of the objects for which the former home is still asked first.
     pub previous_share: f64,
 }
 
-/// An attempt to make.
+/// An attempt to be made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Get {
     /// The request.
     pub id: RequestId,
-    /// The cache asked (or a parent or the origin, passing the caches by).
+    /// The server that receives the attempt: a cache, or directly a parent or the origin.
     pub server: ServerId,
-    /// Where a miss is filled from; the server itself for no fill.
+    /// The server that a miss is filled from; equal to `server` if nothing is filled.
     pub source: ServerId,
-    /// When to stop waiting; none: when the client gives up.
+    /// When the attempt times out; none: when the client stops waiting.
     pub stop_at: Option<MonotonicTime>,
-    /// Rank at which a copy is cached; 0: none is cached.
+    /// Cache priority of the copy, higher for more popular objects; 0: no copy is cached.
     pub rank: u8,
-    /// The oldest copy that will do; none: the class's fresh time.
+    /// Maximum age of an acceptable copy; none: no bound.
     pub max_age: Option<Duration>,
-    /// Wait for a fill that runs.
+    /// Whether the server may join a fill that is already running.
     pub join_fill: bool,
-    /// The source gives only what it holds and fetches nothing.
+    /// Whether the source may only serve from its cache and fetches nothing.
     pub cached_only: bool,
-    /// Fetch an ageing copy anew while it is served.
+    /// Whether an ageing copy is refreshed while it is served.
     pub renew_stale: bool,
 }
 
-/// What a router has to do.
+/// What the caller has to do for a router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Make an attempt.
     Get(Get),
-    /// Final answer: declined, a retry does no harm.
+    /// Final answer: the request is rejected and may safely be retried.
     Refuse {
         /// The request.
         id: RequestId,
-        /// When to come back; zero: nothing said.
+        /// Retry-After for the client; zero: none.
         retry_after: Duration,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: the request failed; it may or may not have been executed.
     Fail(RequestId),
-    /// Withdraw an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt within its request, from 0.
         attempt: u64,
     },
     /// Deliver an [`Event::Timer`].
     Timer {
-        /// When.
+        /// When the timer expires.
         at: MonotonicTime,
-        /// With this mark.
+        /// The mark to hand back in the event.
         mark: u64,
     },
-    /// Poll for changes of the servers from now on.
+    /// Poll for changes of the endpoint list from now on.
     Watch,
 }
--- a/src/items.rs
+++ b/src/items.rs
@@ -1,6 +1,6 @@
-//! What is remembered of objects that were asked for, without any decision: bounded, the oldest go first, and
-//! found by group and by server as well, so that the purge of a group, or the end of a server, touches what
-//! it concerns alone.
+//! A bounded table of the requested objects, without any decision; the least recently requested are evicted
+//! first. Indexes by purge group and by server let the purge of a group, or the removal of a server, touch
+//! only the items concerned.
 use crate::interface::{ObjectId, ServerId};
 use crate::purges::PurgeTarget;
 use crate::records::Item;
@@ -8,28 +8,28 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Requests in the order of the table: minutes of traffic of one router, a few MB.
+/// Maximum number of requests in the eviction queue: minutes of traffic of one router, a few MB.
 const MAX_REQUESTS: usize = 50_000;
 
-/// A part of an object.
+/// An object and its part.
 pub(crate) type ItemKey = (ObjectId, u64);
 
-/// The items, at most [`MAX_REQUESTS`]; at the bound those asked for longest ago are forgotten.
+/// At most [`MAX_REQUESTS`] items; beyond that, the least recently requested are evicted.
 #[derive(Default)]
 pub(crate) struct ItemTable {
     items: BTreeMap<ItemKey, Item>,
     by_group: BTreeSet<(u64, ItemKey)>,
-    /// One entry a record of a hit.
+    /// One entry for each recorded hit.
     by_server: BTreeSet<(ServerId, ItemKey)>,
-    /// Items looked at for servers that have lost their copies, since the table was made.
+    /// Number of items examined by [`ItemTable::forget_server`] since the table was created.
     items_examined: u64,
-    /// One entry a request, the oldest first; an item goes with the entry of its last request.
+    /// One entry for each request, the oldest first. An item is evicted with the entry of its last request.
     requests_by_age: VecDeque<(MonotonicTime, ItemKey)>,
 }
 
 impl ItemTable {
     /// Counts a request; after a pause longer than `memory` it counts as the first. Returns the item's
-    /// sending time.
+    /// sending time in microseconds, if observed.
     pub fn count(&mut self, now: MonotonicTime, key: ItemKey, group: u64, memory: Duration) -> Option<f64> {
         let item = self.items.entry(key).or_default();
         let forgotten = now > item.last + memory;
@@ -48,17 +48,17 @@
         work
     }
 
-    /// An item, if it is known.
+    /// The item with this key, if it is in the table.
     pub fn get(&self, key: &ItemKey) -> Option<&Item> {
         self.items.get(key)
     }
 
-    /// See [`ItemTable::get`].
+    /// Like [`ItemTable::get`], mutable.
     pub fn get_mut(&mut self, key: &ItemKey) -> Option<&mut Item> {
         self.items.get_mut(key)
     }
 
-    /// Records a hit at a server. Those of longer ago than `life` are dropped.
+    /// Records a hit at a server and drops the item's records older than `life`.
     pub fn record_hit(&mut self, key: ItemKey, server: ServerId, now: MonotonicTime, life: Duration) {
         let Some(item) = self.items.get_mut(&key) else { return };
         let by_server = &mut self.by_server;
@@ -73,7 +73,7 @@
         by_server.insert((server, key));
     }
 
-    /// Takes an item over, as the one asked for last.
+    /// Inserts an item as the most recently requested one.
     pub fn insert(&mut self, key: ItemKey, item: Item) {
         self.drop_hits(key);
         self.requests_by_age.push_back((item.last, key));
@@ -86,14 +86,14 @@
         }
     }
 
-    /// The items, those asked for last first.
+    /// The items, the most recently requested first.
     pub fn latest(&self) -> impl Iterator<Item = (ItemKey, &Item)> + '_ {
         let items =
             self.requests_by_age.iter().rev().filter_map(|(at, key)| Some((at, *key, self.items.get(key)?)));
         items.filter(|(at, _, item)| item.last == **at).map(|(_, key, item)| (key, item))
     }
 
-    /// Drops the records of hits of what was purged.
+    /// Drops the recorded hits of the purged items.
     pub fn purge(&mut self, target: PurgeTarget) {
         let keys: Vec<ItemKey> = match target {
             PurgeTarget::Object(object) => {
@@ -107,7 +107,7 @@
         keys.into_iter().for_each(|key| self.drop_hits(key));
     }
 
-    /// Drops the records of hits at a server that has lost them.
+    /// Drops the hits recorded at a server that has lost its copies.
     pub fn forget_server(&mut self, id: ServerId) {
         let records = self.by_server.range((id, (0, 0))..=(id, (u64::MAX, u64::MAX)));
         let records: Vec<(ServerId, ItemKey)> = records.copied().collect();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Items looked at for servers that have lost their copies, since the table was made.
+    /// Number of items examined by [`ItemTable::forget_server`] since the table was created.
     #[cfg(test)]
     fn items_examined(&self) -> u64 {
         self.items_examined
--- a/src/items/tests.rs
+++ b/src/items/tests.rs
@@ -3,7 +3,7 @@
 
 const MEMORY: Duration = Duration::from_secs(1);
 
-/// The moment so many microseconds after the first one.
+/// A point in time in microseconds.
 fn at(micros: u64) -> MonotonicTime {
     MonotonicTime::from_micros(micros)
 }
@@ -23,7 +23,7 @@
         table.count(at(1), key, group, MEMORY);
         record_hit(&mut table, key);
     }
-    // Another group is told of it from now on.
+    // The object moves to another group.
     table.count(at(2), (2, 0), 6, MEMORY);
     table.purge(PurgeTarget::Group(5));
     assert_eq!([1, 2, 3, 4].map(|object| hits(&table, (object, 0))), [0, 1, 1, 1]);
@@ -46,7 +46,8 @@
     assert_eq!(table.latest().next().map(|(key, _)| key), Some((10, 0)));
 }
 
-/// Half of 3,200 stores replaced in a day cost a walk over all objects for each.
+/// Forgetting a server must not walk over all objects: that was costly when half of 3,200 stores were
+/// replaced within a day.
 #[test]
 fn a_server_that_is_gone_touches_the_items_that_it_had_alone() {
     let mut table = ItemTable::default();
@@ -55,13 +56,13 @@
         table.record_hit((object, 0), object % 100, at(object), MEMORY);
     }
     table.forget_server(1000);
-    assert_eq!(table.items_examined(), 0, "it never had any");
+    assert_eq!(table.items_examined(), 0, "no hit was recorded at it");
     table.forget_server(7);
     assert_eq!(table.items_examined(), 10);
     assert!((0..1000).all(|object| hits(&table, (object, 0)) == usize::from(object % 100 != 7)));
 }
 
-/// An entry that outlives its record is kept for ever.
+/// Guards against a memory leak: an index entry that outlives its record is never removed.
 #[test]
 fn each_record_of_a_hit_has_one_entry_by_its_server() {
     let mut table = ItemTable::default();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! larchway decides, for one router in front of edge caches, which cache gets a request, where a miss is
-//! filled from and what is cached.
+//! The routing decisions of one router in front of edge caches: which cache gets a request, which server
+//! fills a miss, and what is cached.
 //!
-//! The caller feeds [`Event`]s to a [`Router`] and carries out the [`Action`]s that it hands back:
+//! The caller passes [`Event`]s to a [`Router`] and carries out the [`Action`]s that it returns:
 //!
 //! ```
 //! use larchway::{Action, Class, Event, Host, Members, Request, Router, Scope, Settings, State};
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,13 +1,13 @@
 //! The decisions of a router: which cache a request goes to, where a miss is filled from, what is cached,
-//! when to retry and when to decline. Settings, events and actions are in `src/interface.rs`.
+//! when to retry and when to reject. Settings, events and actions are in `src/interface.rs`.
 //!
-//! The ordinary path is the paper's: FP, FN and q per cache give the chance of a miss (Eq. 1 to 3); the edge
-//! cache plus at most one sibling minimize Eq. (11).
+//! The ordinary path is the paper's: FP, FN and q of each cache give the probability of a miss (Eq. 1 to 3);
+//! the edge cache and at most one sibling are chosen to minimize Eq. (11).
 //!
-//! This file holds the router's state and hands each event to the module of its concern: `admission` takes
-//! requests in and declines them, `choice` picks among the `candidates` (in a large location, among those of
-//! the router's `subset`), `retry` makes the attempts and `learning` draws on their outcomes. `load`,
-//! `slow_start`, `unsized_work`, `ejection` and `freshness` say what may be asked of a server.
+//! This file holds the router's state and dispatches each event: `admission` admits and rejects requests,
+//! `choice` selects among the `candidates` (in a large location, among those of the router's `subset`),
+//! `retry` makes the attempts and `learning` evaluates their outcomes. `load`, `slow_start`, `unsized_work`,
+//! `ejection` and `freshness` limit what may be sent to a server.
 use crate::interface::*;
 use crate::items::ItemTable;
 use crate::purges::{PurgeTable, PurgeTarget};
@@ -48,61 +48,62 @@
     settings: Settings,
     seed: u64,
     now: MonotonicTime,
-    /// When the first event came.
+    /// Time of the first event.
     started_at: Option<MonotonicTime>,
-    /// The servers that requests can go to or be filled from.
+    /// The servers that requests can be sent to or filled from.
     servers: BTreeMap<ServerId, Server>,
-    /// The entries of all other servers listed: nothing is learned of them.
+    /// The entries of all other listed servers, of which nothing is observed.
     unreachable: BTreeMap<ServerId, Host>,
-    /// Work (µs) sent to servers that were retired within the span in which it counts towards a fall: at most
-    /// those that were listed in that time.
+    /// Work (µs) sent to servers that left the list, kept for [`Settings::overload_span`]. The size is
+    /// bounded by the number of servers that were listed within that span.
     work_of_retired: BTreeMap<ServerId, SlidingSum>,
     candidates: Candidates,
     open: BTreeMap<RequestId, OpenRequest>,
     items: ItemTable,
     purges: PurgeTable,
-    /// By class, the aged sending time.
+    /// By class, the moving average of the sending time in microseconds.
     work: Vec<DecayingMean>,
-    /// By class, what slow start budgets go by where sizes are not stated.
+    /// By class, the work that slow start budgets assume for requests without a stated size.
     unsized_work: Vec<UnsizedWork>,
-    /// Work (µs) that pushes over the smallest server listed that has just started.
+    /// Work (µs) that overloads the smallest listed server right after its start.
     min_cold_budget: f64,
-    /// Microseconds: the aged miss penalty.
+    /// Moving average of the miss penalty in microseconds.
     penalty: DecayingMean,
-    /// Share of fills that parents and origin failed to bring in time, all taken together.
+    /// Share of fills that all parents and origins together failed to deliver in time.
     failed_fill_share: f64,
     /// Attempts in flight.
     in_flight: DecayingLevel,
-    /// Attempts in flight that are likely to take the location's link.
+    /// Attempts in flight that are likely to use the location's link.
     fills_in_flight: DecayingLevel,
-    /// Transfers that the link carries at full pace, once it jammed.
+    /// Number of transfers that the link carries at full pace; none until the first congestion.
     link_flows: Option<f64>,
-    /// Transfers on it over those that fit at full pace, as its caches report.
+    /// Transfers on the link over those that it carries at full pace, as reported by the caches.
     link_load_report: DecayingReport,
-    /// Caches of the own location.
+    /// Number of caches of the own location that are up, at least 1.
     own_caches_up: f64,
     /// Whether a timer is set.
     timer_set: bool,
-    /// Whether watch events of the endpoint list were asked for.
+    /// Whether watch events of the endpoint list were requested.
     watching: bool,
     parent_weights: Option<ParentWeights>,
-    /// By server, the share of its objects that goes to the next ranked servers, each router's own choice.
+    /// By server, the share of its objects that moves to the next ranked servers. Each router selects other
+    /// objects.
     offload_shares: BTreeMap<ServerId, f64>,
-    /// By role, FP, FN and q of all caches taken together.
+    /// By role, FP, FN and q of all caches together.
     all_caches: PerRole<Indicator>,
-    /// Requests given up, by the reason.
+    /// Rejected requests by reason.
     rejections: RejectionCounts,
 }
 
 impl Router {
-    /// A router that knows only its settings; `seed` feeds its random numbers.
+    /// Creates a router without servers; `seed` seeds its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let work = vec![DecayingMean::default(); settings.classes.len()];
         let unsized_work = vec![UnsizedWork::default(); settings.classes.len()];
         Router { settings, seed, work, unsized_work, min_cold_budget: f64::MAX, ..Router::default() }
     }
 
-    /// Puts settings in the place of those in force. `replaced`: classes that are new or have changed slots.
+    /// Replaces the settings. `replaced` names the classes that are new or have changed slots.
     pub fn configure(&mut self, settings: Settings, replaced: &[ReplacedClass]) {
         self.settle_recent_work(replaced);
         carry_over(&mut self.work, settings.classes.len(), replaced);
@@ -119,7 +120,7 @@
         self.count_caches();
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: MonotonicTime, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.candidates.rates_change();
@@ -153,11 +154,11 @@
     }
 }
 
-/// Carries what is known of classes over to those that take their place in new settings.
+/// Moves per-class values to the slots of the classes in the new settings.
 fn carry_over<T: Copy + Default>(by_class: &mut Vec<T>, class_count: usize, replaced: &[ReplacedClass]) {
     by_class.resize(class_count, T::default());
     let known_of = |class: &ReplacedClass| class.predecessor.map_or(T::default(), |slot| by_class[slot]);
-    // All are read before one is written: a slot may be replaced and be a predecessor too.
+    // Reads all values before writing any: a replaced slot may also be a predecessor.
     let carried_over: Vec<T> = replaced.iter().map(known_of).collect();
     replaced.iter().zip(carried_over).for_each(|(class, known)| by_class[class.slot] = known);
 }
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -1,5 +1,4 @@
-//! Admission: a request is taken in, is declined where no answer can be in time, and is given its final
-//! answer.
+//! Admission: admits requests, rejects those for which no answer can be in time, and gives final answers.
 use super::load::{CROWDED_STRETCH, LOAD_REPORT_SPAN};
 use super::server::Server;
 use super::state::{
@@ -12,29 +11,33 @@
 use crate::time::micros_f64;
 use std::time::Duration;
 
-/// Share of the latency objective that a predicted answer of known size may take: load grows meanwhile.
+/// Share of the latency objective that the predicted duration of an answer of known size may use: the load
+/// may grow in the meantime.
 const SIZED_OBJECTIVE_SHARE: f64 = 0.75;
-/// The same for an answer of unknown size.
+/// Like [`SIZED_OBJECTIVE_SHARE`], for an answer of unknown size.
 const UNSIZED_OBJECTIVE_SHARE: f64 = 0.65;
-/// Share of the expected sending time that an answer takes at the least, its object observed before.
+/// Lower bound of the sending time of an object observed before, as a share of the expected one.
 const KNOWN_MIN_WORK_SHARE: f64 = 0.8;
-/// The same for an object not observed before.
+/// Like [`KNOWN_MIN_WORK_SHARE`], for an object not observed before.
 const UNKNOWN_MIN_WORK_SHARE: f64 = 0.2;
 /// Fills requested over those completed in time above which fills are withheld.
 const OVERLOAD_RATIO: f64 = 1.2;
-/// Share of the fills that is withheld at the most.
+/// Maximum share of the fills that is withheld.
 const WITHHELD_LIMIT: f64 = 0.97;
 /// Weight of the newest fill in the share of fills that fail.
 pub(super) const FAILED_FILL_WEIGHT: f64 = 0.3;
-/// Share of the latency objective from which a fill counts as too late: what is requested next waits longer
-/// than what has come.
+/// Share of the latency objective from which a fill counts as late: as the queue grows, the next fill takes
+/// longer than the last completed one.
 pub(super) const LATE_FILL_SHARE: f64 = 0.55;
-/// Part of its latency objective after which a rejected client may retry: a jam passes in moments, and the
-/// objective counts from the first attempt. Later answers earn next to nothing and take as much.
+/// Divisor of the latency objective that gives the Retry-After of a rejected request. Congestion passes
+/// quickly, and the objective counts from the first attempt: later answers use as much capacity and have next
+/// to no value.
 pub(super) const RETRY_AFTER_DIVISOR: u64 = 6;
 
 impl OpenRequest {
-    /// Danger: sizes vary widely, so a mean above the client's patience is no reason to give up.
+    /// Lower bound of the sending time in microseconds. Uses only part of the expected time until an attempt
+    /// was made: object sizes vary widely, so a mean above the client's timeout does not show that this
+    /// answer would be late.
     pub(super) fn min_work(&self) -> f64 {
         match (self.attempts.is_empty() && !self.sized, self.work_known) {
             (false, _) => self.work,
@@ -43,12 +46,14 @@
         }
     }
 
+    /// Number of attempts in flight.
     pub(super) fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| !a.done).count()
     }
 }
 
 impl Router {
+    /// Admits a request and makes its first attempt.
     pub(super) fn on_request(&mut self, req: Request, actions: &mut Vec<Action>) {
         let (id, now) = (req.id, self.now);
         if req.class >= self.settings.classes.len() {
@@ -74,7 +79,7 @@
         self.advance(id, actions);
     }
 
-    /// Gives up: the final answer, at once, as the class allows.
+    /// Gives up a request with its final answer: a rejection if the client may safely retry, else a failure.
     pub(super) fn give_up(&mut self, id: RequestId, retry_after: Duration, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let class = &self.settings.classes[open.req.class];
@@ -85,7 +90,7 @@
         self.close(id, actions);
     }
 
-    /// Why no server was chosen for a request that may still be tried.
+    /// Why no server was chosen for a request that is still allowed an attempt.
     pub(super) fn rejection_reason(&self, open: &OpenRequest) -> RejectionReason {
         let key = mix(open.req.object ^ mix(open.req.part + 1));
         let own = &self.candidates.own;
@@ -100,7 +105,7 @@
         }
     }
 
-    /// Ends a request: withdraws what is out and forgets it when all outcomes are in.
+    /// Closes a request: cancels its attempts in flight, and removes it once all outcomes are received.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.closed = true;
@@ -115,8 +120,9 @@
         }
     }
 
-    /// Danger: in a jam of a cache or of the location's link, all slow down until none is in time. What
-    /// can't be is declined at once, before it takes room from what can. Harm: a late answer earns a little.
+    /// Whether an answer can be in time, given the stretch at the edge cache and the probability of a miss.
+    /// During congestion of a cache or of the location's link, all requests slow down until none is in time,
+    /// so those that cannot be are rejected at once. The cost: a late answer would still have had some value.
     pub(super) fn in_time(&self, open: &OpenRequest, class: &Class, edge: f64, miss: f64) -> bool {
         let estimate = self.link_flows.map_or(1.0, |flows| (self.link_load() + 1.0) / flows);
         let link = self.link_load_report.or(estimate, self.now, LOAD_REPORT_SPAN);
@@ -125,14 +131,16 @@
         let stretch = edge + miss * (link - edge).max(0.0);
         let min_time = open.min_work() * stretch
             + miss * self.penalty.or(INITIAL_MISS_PENALTY).min(INITIAL_MISS_PENALTY);
-        // Danger: what is too large to be in time even alone is declined on the quietest day.
+        // An object that is too large to meet the objective even on an idle server is rejected only under
+        // load.
         stretch <= if open.work > objective { CROWDED_STRETCH } else { objective / open.work.max(1.0) }
             && min_time <= micros_f64(open.req.ttl)
             || open.attempts.iter().any(|a| a.choice.link || a.choice.positive.edge)
     }
 
-    /// Danger: when origin or parents can do no more, retries and new fetches keep them there, and neighbours
-    /// follow. Fills are withheld by the share that fails, none is tried again. Harm: one would have come.
+    /// Whether a request's fill is withheld, by the share of fills that fail; a failed fill is not retried
+    /// then. Overloaded parents or origins would be kept overloaded by retries and new fills, and others
+    /// would follow. The cost: some withheld fills would have succeeded.
     pub(super) fn withholds_fill(&self, open: &OpenRequest) -> bool {
         let share = (1.0 - OVERLOAD_RATIO * (1.0 - self.failed_fill_share)).min(WITHHELD_LIMIT);
         let source_failed = open.attempts.iter().any(|a| a.source_failed && !a.choice.sibling);
--- a/src/logic/candidates.rs
+++ b/src/logic/candidates.rs
@@ -1,5 +1,5 @@
-//! The servers that a request may go to or be filled from, updated as the list changes, so that deciding a
-//! request does not walk over all servers listed. Nothing is decided here: the caller says who is fit.
+//! The servers that a request may be sent to or filled from, indexed as the list changes, so that a decision
+//! does not walk over all listed servers. Nothing is decided here: the caller filters the servers.
 use super::load::USUAL_RATE_SPAN;
 use super::ring::Ring;
 use super::server::Server;
@@ -11,33 +11,35 @@
 use std::cell::Cell;
 use std::collections::BTreeSet;
 
-/// The servers listed, by the part that they can have in a request.
+/// The listed servers, by their possible roles in a request.
 #[derive(Debug, Default)]
 pub(super) struct Candidates {
     /// Caches of the own location.
     pub own: Ring,
-    /// Of these, those that are up: the router's subset and the others.
+    /// The caches of the own location that are up, divided into the router's subset and the others.
     pub subset: CacheSubset,
+    /// All listed parents.
     pub parents: Ring,
+    /// All listed origins.
     pub origins: BTreeSet<ServerId>,
-    /// Parents by the weights of a shape of the hierarchy now, and before its present move. Some may not be
-    /// listed.
+    /// Parents by the present weights of the topology. Some may not be listed.
     pub weighted_parents: Ring,
+    /// Parents by the weights before the migration in progress. Some may not be listed.
     pub former_weighted_parents: Ring,
-    /// Servers of which it was learned how many transfers they carry.
+    /// Servers with an observed number of transfers at full pace.
     pub measured: BTreeSet<ServerId>,
-    /// Servers that have shown something as the source of a sibling's fill.
+    /// Servers with observations as the source of a sibling fill.
     pub observed_sources: BTreeSet<ServerId>,
-    /// Transfers that a server of a kind carries in the mean, until a list or an answer may change it.
+    /// Cached result of [`Router::mean_flows`] with its kind; reset when the list or an observation changes.
     mean_flows: Cell<Option<(usize, Option<f64>)>>,
-    /// Mean rate of work sent to servers of a kind, for the event that is handled.
+    /// Cached result of [`Router::mean_rate`] with its kind; reset with each event and when work is sent.
     mean_rate: Cell<Option<(usize, Option<f64>)>>,
-    /// Servers looked at for a decision since the start.
+    /// Number of servers examined for decisions since the start.
     examined: Cell<u64>,
 }
 
 impl Candidates {
-    /// Forgets a server that is listed no more.
+    /// Removes a server that has left the list.
     fn remove(&mut self, router: u64, server: ServerId) {
         self.own.remove(server);
         self.subset.remove(router, server);
@@ -48,40 +50,40 @@
         self.mean_flows.set(None);
     }
 
-    /// It was learned how many transfers a server carries.
+    /// Records that the number of transfers of a server was observed.
     pub fn measure(&mut self, server: ServerId) {
         self.measured.insert(server);
         self.mean_flows.set(None);
     }
 
-    /// Work is sent, or time has passed.
+    /// Resets the cached mean rate, after work was sent or time has passed.
     pub fn rates_change(&self) {
         self.mean_rate.set(None);
     }
 
-    /// Counts servers that are looked at for a decision.
+    /// Counts servers examined for a decision.
     fn examine(&self, servers: usize) {
         self.examined.set(self.examined.get() + servers as u64);
     }
 
-    /// How many caches of the own location are up.
+    /// Number of caches of the own location that are up.
     pub fn caches_up(&self) -> usize {
         self.subset.caches_up()
     }
 
-    /// Servers looked at for a decision since the start.
+    /// Number of servers examined for decisions since the start.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
 
-    /// Places drawn since the start.
+    /// Number of ranks computed since the start.
     pub fn drawn(&self) -> u64 {
         let rings = [&self.own, &self.parents, &self.weighted_parents, &self.former_weighted_parents];
         rings.iter().map(|ring| ring.drawn()).sum::<u64>() + self.subset.drawn()
     }
 }
 
-/// The ring of a shape's weights: the first above 0 of each server.
+/// The ring of the servers with these weights. Weights of 0 are skipped; the first entry of a server counts.
 fn ring_of_weights(weights: &[ServerWeight]) -> Ring {
     let mut ring = Ring::default();
     for &ServerWeight { server, weight } in weights.iter().rev().filter(|entry| entry.weight > 0.0) {
@@ -91,7 +93,7 @@
 }
 
 impl Router {
-    /// Sorts all servers anew: the list is a complete one, or the settings sort them otherwise.
+    /// Rebuilds the index of all servers, after a change of settings or an import of observations.
     pub(super) fn classify_servers(&mut self) {
         self.candidates.own.clear();
         self.candidates.subset.clear();
@@ -101,7 +103,7 @@
         ids.into_iter().for_each(|id| self.classify_server(id));
     }
 
-    /// Sorts a server that a list names.
+    /// Updates the index for one server; removes it if it is not listed.
     pub(super) fn classify_server(&mut self, id: ServerId) {
         let identity = self.identity();
         let Some(server) = self.servers.get(&id) else { return self.candidates.remove(identity, id) };
@@ -123,13 +125,13 @@
         candidates.mean_flows.set(None);
     }
 
-    /// What draws this router's subset. Danger: if it were new with each start, the objects of a fleet that
-    /// is restarted would all move to other caches.
+    /// The identity from which this router's subset is derived. It must survive restarts: otherwise the
+    /// objects of a restarted fleet would all move to other caches.
     pub(super) fn identity(&self) -> u64 {
         self.settings.router_index.unwrap_or(self.seed)
     }
 
-    /// Takes over the weights of parents.
+    /// Applies the weights of parents from the topology.
     pub(super) fn set_parent_weights(&mut self, weights: Option<&ParentWeights>) {
         self.candidates.weighted_parents =
             weights.map_or_else(Ring::default, |weights| ring_of_weights(&weights.weights));
@@ -137,19 +139,19 @@
             weights.map_or_else(Ring::default, |weights| ring_of_weights(&weights.previous));
     }
 
-    /// A listed server, looked at for a decision.
+    /// A listed server; counts it as examined for a decision.
     pub(super) fn examine(&self, id: ServerId) -> Option<&Server> {
         self.candidates.examine(1);
         self.servers.get(&id)
     }
 
-    /// The first server of a ring by the shared hash that is listed and fit.
+    /// The first server of a ring by rendezvous hashing that is listed and accepted by `fit`.
     pub(super) fn first(&self, ring: &Ring, key: u64, fit: impl Fn(&Server) -> bool) -> Option<&Server> {
         let first = ring.first(key, |id| self.examine(id).is_some_and(&fit));
         first.and_then(|id| self.servers.get(&id))
     }
 
-    /// The first parent for an object that is fit, in a shape's ring or among all that are listed.
+    /// The first listed parent of a ring for an object that `fit` accepts.
     pub(super) fn first_parent(
         &self,
         ring: &Ring,
@@ -160,7 +162,7 @@
         self.first(ring, mix(object), |s| parent(s) && fit(s))
     }
 
-    /// Transfers that servers of a kind carry in the mean, as those that are up have shown.
+    /// Mean number of transfers at full pace observed at the servers of a kind that are up.
     pub(super) fn mean_flows(&self, kind: usize) -> Option<f64> {
         if let Some((known, flows)) = self.candidates.mean_flows.get() {
             if known == kind {
@@ -174,7 +176,7 @@
         flows
     }
 
-    /// Mean rate of work sent to the parents or origins that are up.
+    /// Mean rate of work sent to the parents, or the origins, that are up.
     pub(super) fn mean_rate(&self, kind: usize) -> Option<f64> {
         if let Some((known, rate)) = self.candidates.mean_rate.get() {
             if known == kind {
@@ -193,6 +195,7 @@
     }
 }
 
+/// Sets the weight of a server in a ring, or removes it without one.
 fn put(ring: &mut Ring, id: ServerId, weight: Option<f64>) {
     match weight {
         Some(weight) => ring.set(id, weight),
@@ -200,6 +203,7 @@
     }
 }
 
+/// Adds a server to a set, or removes it.
 fn put_id(ids: &mut BTreeSet<ServerId>, id: ServerId, present: bool) {
     if present {
         ids.insert(id);
--- a/src/logic/choice.rs
+++ b/src/logic/choice.rs
@@ -1,5 +1,5 @@
-//! Which cache a request goes to and where a miss is filled from: the servers in the order of the shared
-//! hash, their costs by Eq. (11) of the paper, and whether an answer can be in time.
+//! Chooses the cache that a request goes to and the server that fills a miss: by rendezvous hashing, by the
+//! costs of Eq. (11) of the paper, and by whether an answer can be in time.
 use super::load::CROWDED_STRETCH;
 use super::ring::Ring;
 use super::server::Server;
@@ -16,12 +16,13 @@
 use std::cell::OnceCell;
 
 impl Router {
+    /// The first usable origin.
     fn origin(&self, work: f64) -> Option<&Server> {
         let mut origins = self.candidates.origins.iter().filter_map(|id| self.examine(*id));
         origins.find(|s| self.usable(s, work))
     }
 
-    /// The rates of a cache in a role; what all have shown together stands for what it has not shown yet.
+    /// The rates of a cache in a role. Rates not yet observed at it are those of all caches together.
     fn indication_rates(&self, own: &Indicator, role: Role) -> IndicationRates {
         let all = &self.all_caches[role];
         let rate = |get: fn(&Indicator) -> Option<f64>, usual| get(own).or(get(all)).unwrap_or(usual);
@@ -32,19 +33,21 @@
         }
     }
 
-    /// The servers with a record of a hit of what is asked for.
+    /// The servers with a valid hit record for the requested part.
     fn holders(&self, req: &Request) -> Vec<ServerId> {
         let item = self.items.get(&(req.object, req.part));
         let hits = item.into_iter().flat_map(|item| &item.hits);
         hits.filter(|&&(_, at)| self.now < at + HIT_RECORD_LIFETIME).map(|&(server, _)| server).collect()
     }
 
-    /// Access cost: aged hit latency, or what the present load makes of the sending time, less that time.
+    /// Access cost in microseconds: the mean hit latency, or the delay by the present load if that is more;
+    /// both without the sending time.
     fn cost(&self, s: &Server, role: Role, work: f64) -> f64 {
         s.roles[role].cost.or(INITIAL_ACCESS_COST).max(work * (self.stretch(s) - 1.0))
     }
 
-    /// The parent (or the origin) that fills a miss: the first by hash that is fit for it.
+    /// The server that fills a miss: the first usable parent by rendezvous hashing, or the origin if there is
+    /// none. Servers at which a fill of the request has failed are skipped.
     fn parent_for(&self, open: &OpenRequest, work: f64) -> Option<ServerId> {
         let (object, now) = (open.req.object, self.now);
         let failed =
@@ -56,20 +59,21 @@
             &self.candidates.parents
         };
         let parent = self.first_parent(ring, object, fit).map(|first| {
-            // Danger: a parent whose link is full slows all its fills while its like stand idle. Part of its
-            // objects go to their next ranked parents, the same from all routers: the more, the fuller it is.
+            // A parent whose link is full would slow all of its fills while other parents are idle. A share
+            // of its objects, which grows with its pace, moves to the next ranked parents; all routers choose
+            // the same objects.
             let spill_share = |s: &Server| 1.0 - CROWDED_STRETCH * s.pace(now) / first.pace(now);
             let draw = unit(mix(object) ^ first.host.server);
             let next = |s: &Server| s.host.server != first.host.server && draw < spill_share(s) && fit(s);
-            // No pace is under 1, so that none is over before.
+            // A pace is at least 1, so the spill share is positive only above this bound.
             let link_full = first.pace(now) > CROWDED_STRETCH;
             link_full.then(|| self.first_parent(ring, object, next)).flatten().unwrap_or(first)
         });
         parent.or_else(|| self.origin(work).filter(|s| fit(s))).map(|s| s.host.server)
     }
 
-    /// The sibling by which a request at an edge cache costs least, if that is no more than `most`; of those
-    /// that cost the same the first by hash.
+    /// The sibling with the lowest cost for a request at an edge cache, if its cost is at most `max_cost`.
+    /// The first by rendezvous hashing wins a tie.
     fn sibling_for(&self, query: &SiblingQuery, edge: &EdgeCost, max_cost: f64) -> Option<(f64, ServerId)> {
         let mut best = (max_cost, None);
         let own = &self.candidates.own;
@@ -90,7 +94,7 @@
                 self.indication_rates(&s.roles.source, Role::Source),
                 Indication::from_record(query.holders.contains(&id)),
             );
-            // What it costs at the least, whatever its load, mostly shows that it costs too much.
+            // The lower bound of the cost, without the load, rules out most siblings.
             if edge.with_source(s.roles.source.cost.or(INITIAL_ACCESS_COST), miss) > best.0 || !can_supply(s)
             {
                 continue;
@@ -100,7 +104,7 @@
                 best = (cost, Some(id));
             }
         }
-        // All others have shown nothing: they cost the same, but for their load.
+        // All other siblings are unobserved, so their costs differ only by their load.
         let miss =
             miss_chance(self.indication_rates(&Indicator::default(), Role::Source), Indication::Negative);
         let min_cost = edge.with_source(INITIAL_ACCESS_COST, miss);
@@ -119,8 +123,9 @@
         best.1.map(|server| (best.0, server))
     }
 
-    /// The edge cache and at most one sibling that minimize Eq. (11), summed access cost plus M times the
-    /// product of miss chances.
+    /// Chooses the edge cache and at most one sibling that minimize Eq. (11): the sum of the access costs
+    /// plus the miss penalty times the product of the miss probabilities. None if no answer is possible in
+    /// time.
     pub(super) fn choose(&self, open: &OpenRequest, class: &Class) -> Option<Choice> {
         let mean = self.mean_work(open);
         let key = mix(open.req.object ^ mix(open.req.part + 1));
@@ -143,13 +148,15 @@
         self.choose_fill(open, class, choice, miss)
     }
 
+    /// A choice without sibling and hit records.
     fn plain_choice(&self, open: &OpenRequest, edge: ServerId, source: ServerId) -> Choice {
         let expected = open.work + self.penalty.or(INITIAL_MISS_PENALTY);
         Choice { edge, source, expected, link: true, ..Choice::default() }
     }
 
-    /// Whether the servers that drop repeats of a request, once it may have run, include this one. Danger:
-    /// where the first of them is listed no more, the request runs again in another group.
+    /// Whether a server belongs to the group that drops repeats of a request that may have been executed.
+    /// Uses the recorded location of the first attempt: its server may have left the list, and the request
+    /// must not be executed again in another group.
     fn in_group(&self, open: &OpenRequest, class: &Class, server: &Server) -> bool {
         let first = open.first_run.filter(|_| class.effect == Effect::IdempotencyKey);
         let (zone, cell) = (class.group != Group::All, class.group == Group::Cell);
@@ -160,7 +167,8 @@
         })
     }
 
-    /// No cache is left here; where it is allowed, the parent or the origin serves the client itself.
+    /// The choice when no cache is usable: the parent or the origin serves the request, if the settings allow
+    /// it.
     fn choose_without_cache(
         &self,
         open: &OpenRequest,
@@ -176,14 +184,15 @@
         accepted.then(|| self.plain_choice(open, server, source))
     }
 
-    /// Danger: of many routers each sees too little to know which cache the hash gives more than its like.
+    /// Whether an object of a cache is offloaded to the next ranked one. The share is given from outside:
+    /// with many routers, each sees too little to know which cache is given more objects than the others.
     fn offloads(&self, key: u64, id: ServerId) -> bool {
         unit(key ^ mix(id ^ self.seed)) < self.offload_shares.get(&id).map_or(0.0, |share| *share)
     }
 
-    /// The caches that a request may go to: the router's subset, or all of the location. Danger: a subset
-    /// that has failed, but for single trials, is cold or has too much to do keeps its requests while other
-    /// caches idle. Harm: each of these takes a connection.
+    /// The caches that a request may go to: the router's subset, or all caches of the location if all members
+    /// of the subset are ejected, cold or saturated. Their requests would otherwise be rejected or delayed
+    /// while other caches are idle. The cost: each cache outside the subset takes a connection.
     fn edge_candidates(&self, key: u64, eligible: impl Fn(&Server) -> bool) -> &Ring {
         let all = &self.candidates.own;
         let Some(subset) = self.candidates.subset.members() else { return all };
@@ -199,7 +208,7 @@
         all
     }
 
-    /// The first able cache by hash that is not crowded; the nearest one where all are.
+    /// The first eligible cache by rendezvous hashing that is not crowded; the nearest one if all are.
     fn default_edge<'a>(
         &'a self,
         caches: &Ring,
@@ -207,7 +216,7 @@
         nearest: &'a Server,
         eligible: impl Fn(&Server) -> bool,
     ) -> &'a Server {
-        // What the least busy of all that are able has: needed only where one is busy.
+        // The stretch of the least busy eligible cache, computed only if some cache is busy.
         let least_busy = OnceCell::new();
         let find_least_busy = || {
             let fit = caches.ids().filter_map(|id| self.examine(id)).filter(|s| eligible(s));
@@ -222,7 +231,7 @@
         default.unwrap_or(nearest)
     }
 
-    /// The default cache and the able ones with a record of a hit, in the order of the shared hash.
+    /// The default cache and the eligible ones with a hit record, in the order of rendezvous hashing.
     fn possible_edges<'a>(
         &'a self,
         caches: &Ring,
@@ -239,7 +248,8 @@
         edges
     }
 
-    /// The cheapest edge cache and source by Eq. (11), and the chance of a miss at that cache.
+    /// The edge cache and source with the lowest cost by Eq. (11), and the probability of a miss at that
+    /// cache.
     fn cheapest(
         &self,
         open: &OpenRequest,
@@ -248,7 +258,8 @@
         parent: Option<ServerId>,
     ) -> (Choice, f64) {
         let penalty = self.penalty.or(INITIAL_MISS_PENALTY);
-        // Danger: with a dear miss any sibling seems to pay, and requests wander from one to the next.
+        // At most one sibling for each request: with a high miss penalty every sibling seems worth its cost,
+        // and requests would go from one to the next.
         let no_sibling =
             self.settings.siblings == Siblings::None || open.attempts.iter().any(|a| a.choice.sibling);
         let mut best = (f64::MAX, Choice::default(), 1.0);
@@ -274,16 +285,16 @@
         (best.1, best.2)
     }
 
-    /// Whether the source of a choice is to fetch what it lacks, is only asked for what it holds, or is left
-    /// out; none where no answer can be in time.
+    /// Decides whether the source of a choice may fetch the object, may only serve it from cache, or is left
+    /// out. None if no answer can be in time.
     fn choose_fill(&self, open: &OpenRequest, class: &Class, choice: Choice, miss: f64) -> Option<Choice> {
-        // A second look without a fill would find no more than the first.
+        // A second attempt at the same cache without a fill would miss again.
         if choice.source == choice.edge && open.attempts.iter().any(|a| a.choice.edge == choice.edge) {
             return None;
         }
         let stretch = self.servers.get(&choice.edge).map_or(1.0, |s| self.stretch(s));
-        // Danger: while fills are withheld, what parents hold would be lost with the origin, and copies here
-        // may be too old. Parents are asked for what they hold, once, and fetch nothing for it.
+        // While fills are withheld, a parent is asked once for what it has cached and fetches nothing:
+        // without that, its copies would be unavailable with the origin, and copies in caches may be too old.
         let cached_only = !choice.sibling && choice.source != choice.edge && self.withholds_fill(open);
         let parent = self.servers.get(&choice.source).map(|s| s.host.kind) == self.settings.parent_kind;
         let former = self.former_home(open, self.mean_work(open));
@@ -295,13 +306,14 @@
         if !fill_barred && self.in_time(open, class, stretch, miss) {
             return Some(Choice { cached_only, ..choice });
         }
-        // Where only the fill is too slow or withheld, a look still finds what the cache holds.
+        // If only the fill is too slow or withheld, the cache may still have a copy.
         let edge_only = Choice { source: choice.edge, sibling: false, link: false, ..choice };
         (open.attempts.is_empty() && self.in_time(open, class, stretch, 0.0)).then_some(edge_only)
     }
 
-    /// Danger: objects whose home moves are all missing at the new one, and the origin gets every fill. The
-    /// home of before is asked first for what it holds. Harm: one way more for what it does not.
+    /// The former home of an object whose parent changes, if it is still to be asked first for a cached copy.
+    /// The new home has none of the moved objects yet, so the origin would get a fill for each. The cost: one
+    /// more round trip for objects that the former home does not have.
     fn former_home(&self, open: &OpenRequest, work: f64) -> Option<ServerId> {
         let still_asked = |h: &&ParentWeights| {
             unit(mix(open.req.object) ^ 1) <= h.previous_share && open.attempts.is_empty()
@@ -314,7 +326,7 @@
     }
 }
 
-/// Whether no attempt of the request at this server as its edge cache is in flight or has failed there.
+/// Whether a request may be sent to an edge cache: no attempt of it there is in flight or has failed there.
 fn may_attempt(open: &OpenRequest, server: &Server) -> bool {
     let unavailable = |attempt: &Attempt| attempt.edge_failed || !attempt.done;
     !open.attempts.iter().any(|attempt| attempt.choice.edge == server.host.server && unavailable(attempt))
--- a/src/logic/choice/tests.rs
+++ b/src/logic/choice/tests.rs
@@ -1,5 +1,5 @@
-//! The choice against the plain walk over all servers listed, which is obviously right, and what the choice
-//! touches.
+//! Compares the choice with a simple reference implementation that walks over all listed servers, and checks
+//! how many entries the choice touches.
 use super::*;
 use crate::hashing::{rendezvous_rank, rendezvous_seed};
 use crate::logic::subset::SUBSET_SIZE;
@@ -8,12 +8,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Objects asked for: few, so that records of hits meet requests.
+/// Number of objects: few, so that requests often find recorded hits.
 const OBJECTS: u64 = 40;
-/// Steps of a history.
+/// Number of steps of a history.
 const STEPS: u64 = 700;
 
-/// The plain walks.
+/// The reference implementation.
 impl Router {
     fn plain_ranked<'a>(
         &self,
@@ -83,7 +83,7 @@
         item.is_some_and(|i| i.hits.iter().any(|&(s, at)| s == server && self.now < at + HIT_RECORD_LIFETIME))
     }
 
-    /// The caches that are to be asked, of all of the location in the order of the shared hash.
+    /// The caches that a request may go to, of all caches of the location in the order of rendezvous hashing.
     fn plain_candidates<'a>(
         &self,
         ranked: &[&'a Server],
@@ -221,7 +221,7 @@
     }
 }
 
-/// A seeded generator.
+/// A seeded random number generator.
 struct Draws(u64);
 
 impl Draws {
@@ -229,7 +229,7 @@
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         mix(self.0) % bound.max(1)
     }
-    /// A span under so many microseconds.
+    /// A random span of less than `bound` microseconds.
     fn span_below(&mut self, bound: u64) -> Duration {
         Duration::from_micros(self.below(bound))
     }
@@ -322,23 +322,23 @@
     Event::Outcome(Outcome { id, attempt, status, latency, request, note, load, waited })
 }
 
-/// One random history: lists, settings, shapes, answers and failures of all kinds.
+/// A random history of endpoint lists, settings, topologies, answers and failures.
 struct History {
     draws: Draws,
     servers: u64,
-    /// Share of the attempts that are served, in percent.
+    /// Share of successful attempts in percent.
     served_percent: u64,
     settings: Settings,
     router: Router,
     now: MonotonicTime,
     in_flight: Vec<(u64, u64, MonotonicTime)>,
     attempts: BTreeMap<u64, u64>,
-    /// The full list, merged from its changes.
+    /// The full endpoint list, merged from its updates.
     listed: BTreeMap<ServerId, Host>,
 }
 
 impl History {
-    /// One with a number of servers that is one of these.
+    /// Creates a history whose number of servers is one of `sizes`.
     fn new(seed: u64, sizes: &[u64]) -> Self {
         let mut draws = Draws(mix(seed + 1));
         let settings = drawn_settings(&mut draws);
@@ -355,7 +355,7 @@
         history
     }
 
-    /// Merges a list or a change of it.
+    /// Merges an update into the full list.
     fn merge(&mut self, members: &Members) {
         if members.scope == Scope::Full {
             self.listed.clear();
@@ -368,7 +368,7 @@
         }
     }
 
-    /// Compares the servers that the router knows with the full list.
+    /// Compares the router's servers with the full list.
     fn compare_list(&self, seed: u64, step: u64) {
         let (router, settings) = (&self.router, &self.settings);
         assert_eq!(router.servers(), self.listed.len(), "seed {seed}, step {step}");
@@ -379,7 +379,7 @@
             if is_source || host.zone == settings.zone {
                 assert_eq!(known, Some(host), "seed {seed}, step {step}");
             }
-            // What was learned before the settings changed stays.
+            // Servers observed before a change of settings stay until the list names them again.
             assert_eq!(known.or(router.unreachable.get(id)), Some(host), "seed {seed}, step {step}");
         }
     }
@@ -436,7 +436,7 @@
         }
     }
 
-    /// Another process takes over what was learned.
+    /// Replaces the router by a new process that imports its observations.
     fn next_process(&mut self) -> Event {
         let learned = self.router.learned(self.now, 1000);
         let hosts = self.listed.values().cloned().collect();
@@ -465,7 +465,7 @@
         }
     }
 
-    /// Compares what would be chosen now for each open request; returns how many choices there were.
+    /// Compares the present choice for some open requests; returns the number of those with a choice.
     fn compare(&self, seed: u64, step: u64) -> u64 {
         self.compare_list(seed, step);
         let router = &self.router;
@@ -477,7 +477,7 @@
         let caches = router.servers.values().filter(up).count().max(1);
         assert_eq!(router.own_caches_up, caches as f64, "seed {seed}, step {step}");
         let waiting: Vec<&OpenRequest> = router.open.values().filter(|open| !open.closed).collect();
-        // Those that came last and some of the others.
+        // The latest requests and some of the others.
         let looked_at = waiting.iter().rev().take(3).chain(waiting.iter().step_by(7));
         looked_at
             .map(|open| {
@@ -490,8 +490,8 @@
     }
 }
 
-/// Another choice than that of the plain walk changes what all gateways agree on without a word: homes of
-/// objects.
+/// All gateways agree on the homes of objects without communication, so the choice must be exactly that of
+/// the reference implementation.
 #[test]
 fn the_choice_is_that_of_the_plain_walk_over_all_servers() {
     let mut choices = 0;
@@ -500,15 +500,15 @@
         for step in 0..STEPS {
             history.step(step);
             choices += history.compare(seed, step);
-            // Invariant 9 of docs/design/large-fleet.md: these locations are used as a whole.
+            // Invariant 9 of docs/design/large-fleet.md: locations of this size are used as a whole.
             assert!(history.router.candidates.subset.members().is_none(), "seed {seed}, step {step}");
         }
     }
     assert!(choices > 10_000, "{choices} choices compared");
 }
 
-/// Invariant 11 of docs/design/large-fleet.md. Choices outside of the subset take a connection each, those
-/// that keep to a subset which is out are refused.
+/// Invariant 11 of docs/design/large-fleet.md. Each choice outside the subset takes a connection, and
+/// requests that stay within an unavailable subset are rejected.
 #[test]
 fn the_choice_in_a_large_location_is_that_of_the_plain_walk_over_the_subset() {
     let (mut choices, mut in_subset) = (0, 0);
@@ -524,7 +524,7 @@
     assert!(in_subset > STEPS, "{in_subset} steps with a subset");
 }
 
-/// A router with its list, by the numbers of own caches, parents and caches elsewhere.
+/// A router with these numbers of listed own caches, parents and caches of other locations.
 fn listed_router(own: u64, parents: u64, elsewhere: u64, siblings: Siblings) -> Router {
     let classes = vec![Class {
         latency_objective: Duration::from_millis(250),
@@ -554,7 +554,8 @@
     router
 }
 
-/// Servers looked at and places drawn a request, by the numbers of own caches, parents and caches elsewhere.
+/// Servers examined and ranks computed for each request, with these numbers of own caches, parents and caches
+/// of other locations.
 fn touched_each(own: u64, parents: u64, elsewhere: u64, siblings: Siblings) -> (f64, f64) {
     const REQUESTS: u64 = 400;
     let mut router = listed_router(own, parents, elsewhere, siblings);
@@ -591,21 +592,24 @@
     (each(after.servers, before.servers), each(after.places, before.places))
 }
 
-/// Invariant 14 of docs/design/large-fleet.md: with sixteen times the caches, an edge cache is looked for in
-/// the subset, which the list keeps up.
+/// Invariant 14 of docs/design/large-fleet.md: with sixteen times the caches, only the subset is searched for
+/// an edge cache.
 #[test]
 fn finding_an_edge_cache_touches_no_more_than_the_subset_however_large_the_location() {
     let without_siblings = |own| touched_each(own, 40, 0, Siblings::None);
     let (servers, places) = without_siblings(SUBSET_SIZE as u64);
     for own in [4, 16].map(|times| times * SUBSET_SIZE as u64) {
         let (more_servers, more_places) = without_siblings(own);
-        assert!(more_places <= places, "{own} caches: {places} places drawn, then {more_places}");
-        assert!(more_servers <= servers + 2.0, "{own} caches: {servers} looked at, then {more_servers}");
+        assert!(more_places <= places, "{own} caches: {places} ranks computed, then {more_places}");
+        assert!(
+            more_servers <= servers + 2.0,
+            "{own} caches: {servers} servers examined, then {more_servers}"
+        );
     }
 }
 
-/// S4 of docs/design/site-lists.md: of stores elsewhere the entry is all that is stored, and no request
-/// touches it.
+/// S4 of docs/design/site-lists.md: for stores of other locations only the entry is stored, and requests do
+/// not touch it.
 #[test]
 fn what_is_learned_and_touched_does_not_grow_with_stores_elsewhere() {
     const ELSEWHERE: u64 = 300;
@@ -617,15 +621,16 @@
     }
 }
 
-/// A request cost 4.8 times as much with 3,200 stores listed as with 200.
+/// The cost of a request must not grow with the number of listed stores: it was 4.8 times as high with 3,200
+/// stores as with 200.
 #[test]
 fn a_request_touches_its_own_candidates_and_of_these_few_one_by_one() {
     let (servers, places) = touched_each(10, 40, 150, Siblings::Any);
-    // Sixteen times the stores, all of them elsewhere: nothing more is touched.
+    // Sixteen times the stores, the further ones in other locations: no more entries are touched.
     assert_eq!(touched_each(10, 40, 3150, Siblings::Any), (servers, places));
-    // Sixteen times the candidates: each gets its place drawn, but few more are looked at.
+    // Sixteen times the candidates: a rank is computed for each, but few more are examined.
     let (more_servers, more_places) = touched_each(160, 640, 2400, Siblings::Any);
-    assert!(more_servers < 4.0 * servers, "{servers} servers looked at, then {more_servers}");
-    assert!(more_places < 17.0 * places, "{places} places drawn, then {more_places}");
-    assert!(places < 4.0 * (10.0 + 40.0), "{places} places drawn");
+    assert!(more_servers < 4.0 * servers, "{servers} servers examined, then {more_servers}");
+    assert!(more_places < 17.0 * places, "{places} ranks computed, then {more_places}");
+    assert!(places < 4.0 * (10.0 + 40.0), "{places} ranks computed");
 }
--- a/src/logic/learned.rs
+++ b/src/logic/learned.rs
@@ -1,5 +1,5 @@
-//! What a router has learned, for the next process of the same router: written down and taken over. Nothing
-//! is decided here. Times are on the clock that both processes share.
+//! Exports a router's observations and imports them into the next process of the same router; nothing is
+//! decided here. Times are on the monotonic clock that both processes share.
 use super::load::LOAD_SPAN;
 use super::server::Pace;
 use super::state::Indicator;
@@ -12,12 +12,12 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// What was learned of one server.
+/// The observations of one server.
 #[derive(Debug, Clone)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct LearnedServer {
     server: ServerId,
-    /// Its start as listed: evidence of one process of a store is none of the next.
+    /// Its start as listed. The observations apply only to this process of the server, not to its next one.
     listed: MonotonicTime,
     started: Option<MonotonicTime>,
     notified_at: MonotonicTime,
@@ -35,7 +35,7 @@
     retry_at: MonotonicTime,
 }
 
-/// What was learned of a part of an object.
+/// The observations of a part of an object.
 #[derive(Debug, Clone)]
 #[cfg_attr(feature = "serde", derive(serde::Deserialize), serde(from = "SerializedItem"))]
 struct LearnedItem {
@@ -44,7 +44,7 @@
     item: Item,
 }
 
-/// A [`LearnedItem`] as it is sent to another process of the router: its key, then what is known.
+/// The serialized form of a [`LearnedItem`]: its key and the observations.
 type SerializedItem = ((ObjectId, u64), Item);
 
 impl From<SerializedItem> for LearnedItem {
@@ -53,7 +53,7 @@
     }
 }
 
-/// In the form of [`SerializedItem`], without a copy of the item.
+/// Serializes in the form of [`SerializedItem`], without copying the item.
 #[cfg(feature = "serde")]
 impl serde::Serialize for LearnedItem {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
@@ -73,8 +73,8 @@
     issued: MonotonicTime,
 }
 
-/// A [`LearnedPurge`] as it is sent to another process of the router: the group and the object, then the
-/// time. The purge of an object has group 0, that of a group has no object.
+/// The serialized form of a [`LearnedPurge`]: the group, the object and the time. The purge of an object has
+/// group 0; the purge of a group has no object.
 type SerializedPurge = ((u64, Option<ObjectId>), MonotonicTime);
 
 impl From<LearnedPurge> for SerializedPurge {
@@ -97,18 +97,18 @@
 pub struct SentWork {
     /// The server.
     pub server: ServerId,
-    /// The sending time that it needs for it, in microseconds.
+    /// Sending time of the work, in microseconds.
     pub work_micros: f64,
 }
 
-/// What a router has learned.
+/// The observations of a router, for its next process.
 #[derive(Debug, Clone, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Learned {
     servers: Vec<LearnedServer>,
     items: Vec<LearnedItem>,
     purges: Vec<LearnedPurge>,
-    /// When copies of all objects became void.
+    /// Time up to which copies of all objects are invalid.
     #[cfg_attr(feature = "serde", serde(default))]
     purge_floor: Option<MonotonicTime>,
     work: Vec<DecayingMean>,
@@ -119,24 +119,25 @@
     link_flows: Option<f64>,
     link_load_report: DecayingReport,
     all_caches: PerRole<Indicator>,
-    /// Turns at cold servers are drawn from it: both processes draw the same, and the router has one turn.
+    /// Seeds the random share of a request that is added to slow start budgets in each time slot: all
+    /// processes of a router must draw the same one, so that the router uses it once.
     seed: u64,
 }
 
 impl Learned {
-    /// The starts of the servers' processes, as they were listed there.
+    /// The servers and the listed starts of their processes at the time of the export.
     pub fn listed_starts(&self) -> impl Iterator<Item = DatedStart> + '_ {
         self.servers.iter().map(|s| DatedStart { server: s.server, started: s.listed })
     }
 
-    /// When it was written down.
+    /// Time of the export.
     pub fn taken_at(&self) -> MonotonicTime {
         self.in_flight.at
     }
 }
 
 impl Router {
-    /// What is learned, with so many objects at most, those asked for last.
+    /// Exports the observations, with at most `objects` objects, the most recently requested.
     pub fn learned(&self, now: MonotonicTime, objects: usize) -> Learned {
         let level = |l: &DecayingLevel| l.without_current(now, LOAD_SPAN);
         let servers = self.servers.values().map(|s| LearnedServer {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The work sent after this time to servers that are cold: what other processes of this router must know.
+    /// The work sent after `at` to servers that are warming up, for the other processes of this router.
     pub fn sent_after(&self, now: MonotonicTime, at: MonotonicTime) -> Vec<SentWork> {
         let cold = self.servers.values().filter(|s| {
             let span = self.settings.slow_start_span.max(self.settings.parent_slow_start_span);
@@ -186,7 +187,7 @@
         sent.filter(|sent| sent.work_micros > 0.0).collect()
     }
 
-    /// Another process of this router has sent that work.
+    /// Records work sent by another process of this router, which uses the same slow start budgets.
     pub fn record_work_sent_elsewhere(&mut self, now: MonotonicTime, sent: &[SentWork]) {
         for SentWork { server, work_micros } in sent {
             if let Some(s) = self.servers.get_mut(server) {
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Takes over what another process of this router has learned, once its servers are known. `classes`
-    /// gives for each class there which it is here.
+    /// Imports the observations of another process of this router; the servers must be listed before.
+    /// `classes` maps the classes of that process to those of this one.
     pub fn take_over(&mut self, learned: Learned, classes: &[Option<usize>]) {
         for earlier in learned.servers {
             let Some(s) = self.servers.get_mut(&earlier.server).filter(|s| s.host.started == earlier.listed)
@@ -205,7 +206,7 @@
             };
             (s.started, s.notified_at, s.roles) = (earlier.started, earlier.notified_at, earlier.roles);
             (s.in_flight, s.flows, s.rate) = (earlier.in_flight, earlier.flows, earlier.rate);
-            // A cold budget is the router's, whichever of its processes has used it.
+            // The processes of a router share its slow start budget.
             s.sent_by_others = earlier.sent;
             s.sent_by_others.merge(earlier.sent_by_others);
             (s.failure_share, s.lost, s.pace) = (earlier.failure_share, earlier.lost, earlier.pace);
@@ -217,7 +218,7 @@
                 self.work[*to] = *work;
             }
         }
-        // The latest came first.
+        // The most recently requested items come first.
         for LearnedItem { object, part, item } in learned.items.into_iter().rev() {
             self.items.insert((object, part), item);
         }
--- a/src/logic/learning.rs
+++ b/src/logic/learning.rs
@@ -1,4 +1,4 @@
-//! What is learned from the outcome of an attempt, on the edge cache, the source and the object.
+//! Updates the state of the edge cache, the source and the object from the outcome of an attempt.
 use super::admission::{FAILED_FILL_WEIGHT, LATE_FILL_SHARE};
 use super::ejection::{attribute_failure, FailedPart, EJECTION_THRESHOLD, SOURCE_EJECTION_THRESHOLD};
 use super::load::{
@@ -13,12 +13,12 @@
 use crate::statistics::learned_flows;
 use crate::time::{micros_f64, MonotonicTime};
 
-/// Weight of the newest observation in the transfers that a server or the link carries.
+/// Weight of the newest observation in the estimated number of transfers at full pace.
 const FLOWS_WEIGHT: f64 = 2.0 * OBSERVATION_WEIGHT;
-/// Microseconds of sending time above which a hit shows how many transfers its cache carries.
+/// Sending time in microseconds above which a hit updates the estimated number of transfers of its cache.
 const MEASURED_MIN_WORK: f64 = 20_000.0;
 
-/// What an outcome shows, together with what is known of its request and attempt.
+/// An outcome, with the data of its request and attempt.
 struct Observation<'a> {
     outcome: &'a Outcome,
     choice: Choice,
@@ -27,13 +27,13 @@
     /// When the attempt was sent.
     sent: MonotonicTime,
     item: ItemKey,
-    /// Microseconds: the expected sending time.
+    /// Expected sending time in microseconds.
     work: f64,
-    /// Whether the client named the size.
+    /// Whether the client stated the size.
     sized: bool,
-    /// Whether the sending time is of this object, not of its class.
+    /// Whether the sending time was stated or observed for this object, not just for its class.
     work_known: bool,
-    /// Whether it is of the first sample of its class's work.
+    /// Whether the attempt belongs to the sample that estimates the work of its class.
     sampled: bool,
     cacheable: bool,
     /// Whether the answer was filled from the source.
@@ -41,17 +41,17 @@
     /// Whether the answer came from a copy of the edge cache.
     hit: bool,
     failed_part: FailedPart,
-    /// Whether there was no connection to the part that failed.
+    /// Whether no connection could be made to the part that failed.
     unreached: bool,
 }
 
 impl Observation<'_> {
-    /// Microseconds from the attempt's start to its end.
+    /// Duration of the attempt in microseconds.
     fn latency(&self) -> f64 {
         micros_f64(self.outcome.latency)
     }
 
-    /// Microseconds that it took longer than its sending time.
+    /// Duration of the attempt beyond its sending time, in microseconds.
     fn excess(&self) -> f64 {
         (self.latency() - self.work).max(0.0)
     }
@@ -61,7 +61,7 @@
         self.latency() / (self.work + INITIAL_ACCESS_COST)
     }
 
-    /// Whether a sibling has shown if it holds the object.
+    /// Whether the attempt shows whether the sibling has the object.
     fn sibling_answered(&self) -> bool {
         let lacked = self.outcome.status == Status::Miss || self.outcome.note == Note::SourceLacks;
         self.choice.sibling && (self.filled || lacked)
@@ -72,9 +72,9 @@
 struct EdgeState {
     /// Whether its slow start is over.
     warm: bool,
-    /// Transfers that it carries at full pace.
+    /// Number of transfers that it carries at full pace.
     flows: f64,
-    /// Transfers at it.
+    /// Number of transfers at the cache.
     load: f64,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Router {
-    /// Draws what can be drawn from an outcome, on the edge cache, the source and the object.
+    /// Updates the state of the edge cache, the source and the object from an outcome.
     pub(super) fn learn(&mut self, outcome: &Outcome) {
         let Some(observation) = self.observe(outcome) else { return };
         self.learn_fills(&observation);
@@ -135,7 +135,8 @@
         })
     }
 
-    /// Which part failed the request, and the share of fills that parents and origin fail to bring in time.
+    /// Marks the failed part of the attempt, and updates the share of fills that parents and origins fail to
+    /// deliver in time.
     fn learn_fills(&mut self, observation: &Observation) {
         let Observation { outcome, class, work, filled, failed_part, .. } = *observation;
         let Some(open) = self.open.get_mut(&outcome.id) else { return };
@@ -143,23 +144,24 @@
         attempt.edge_failed |= failed_part == FailedPart::Edge && outcome.status != Status::Reset
             || matches!(outcome.status, Status::Full | Status::Error);
         attempt.source_failed |= failed_part == FailedPart::Source || outcome.status == Status::Miss;
-        // Danger: clients of little patience leave before a fill can come; that says nothing of the origin.
+        // Clients with a short timeout leave before a fill can arrive, which does not show an overloaded
+        // origin: a time-out counts only if it is late by the latency objective.
         let late =
             observation.latency() > LATE_FILL_SHARE * self.settings.classes[class].latency_objective_of(work);
-        // Danger: a parent that is gone or errs says so at once. Laid to the origin, it withholds the fills
-        // of all healthy parents; that parent alone is left to trials.
+        // A parent that is down or returns errors fails at once. Counted against the origin, its failures
+        // would withhold the fills of all healthy parents, so only that parent is ejected.
         let only_that_parent = outcome.note == Note::SourceLost && !late;
         let failed = attempt.source_failed && !only_that_parent
             || outcome.note == Note::OriginFailed
             || outcome.status == Status::Timeout && late;
         if attempt.fetches() && !attempt.late && (filled || failed) {
-            // Danger: an origin that slows brings all that it is asked for, too late, until it stops.
+            // Late fills count as failed: an overloaded origin first delivers all fills too late, then none.
             self.failed_fill_share +=
                 FAILED_FILL_WEIGHT * (f64::from(u8::from(!filled || late)) - self.failed_fill_share);
         }
     }
 
-    /// How many transfers the location's link carries at full pace.
+    /// Updates the number of transfers that the location's link carries at full pace.
     fn learn_link(&mut self, observation: &Observation) {
         let Observation { outcome, work, work_known, filled, .. } = *observation;
         self.fills_in_flight.add(-1.0, self.now, LOAD_SPAN);
@@ -173,8 +175,9 @@
         }
     }
 
-    /// Danger: of many routers each sees little of the link, and takes an idle one for full by what it
-    /// guesses of the others. Reports count the work of all. Harm: they are late.
+    /// Records the link load reported by a cache, which includes the work of all routers. With many routers,
+    /// each sees little of the link itself, and would take an idle link for full by extrapolating its own
+    /// load. The cost: reports are delayed.
     fn learn_load_report(&mut self, observation: &Observation) {
         let edge = self.servers.get(&observation.choice.edge).filter(|s| self.is_own(s));
         if let Some(load) = edge.and(self.settings.reported_link_load(&observation.outcome.load)) {
@@ -190,7 +193,7 @@
         EdgeState { warm, flows: self.flows(server), load: self.load(server) }
     }
 
-    /// The edge cache's health, pace, capacity and indications. Returns whether it has restarted.
+    /// Updates health, pace, capacity and indications of the edge cache. Returns whether it has restarted.
     fn learn_edge(&mut self, observation: &Observation, state: &EdgeState) -> bool {
         let Observation { outcome, choice, work, hit, unreached, .. } = *observation;
         let now = self.now;
@@ -223,7 +226,7 @@
         restarted
     }
 
-    /// The health, pace and indications of the source of a fill. Returns whether it has restarted.
+    /// Updates health, pace and indications of the source of a fill. Returns whether it has restarted.
     fn learn_source(&mut self, observation: &Observation) -> bool {
         let Observation { outcome, choice, work, filled, unreached, .. } = *observation;
         let now = self.now;
@@ -255,8 +258,9 @@
         restarted
     }
 
-    /// What the attempt shows of its class's work where sizes are not stated: at most the time from the first
-    /// byte of its answer on. One that was withdrawn or ran out of time might have taken longer.
+    /// Updates the estimated work of a class from an attempt without a stated size. The work is at most the
+    /// time since the first byte of the answer. A cancelled or timed-out attempt might have taken longer, so
+    /// it counts with at least the assumed work.
     fn learn_unsized_work(&mut self, observation: &Observation) {
         let Observation { outcome, class, .. } = *observation;
         let assumed = self.assumed_work(class);
@@ -274,13 +278,13 @@
         }
     }
 
-    /// The miss penalty, the sending time of the object and its class, and where a copy is now.
+    /// Updates the miss penalty, the sending time of the object and its class, and the hit records.
     fn learn_object(&mut self, observation: &Observation, state: &EdgeState) {
         let Observation { choice, item: key, filled, hit, .. } = *observation;
         if !hit && !choice.sibling {
             self.penalty.add(observation.excess(), OBSERVATION_WEIGHT);
         }
-        // Where sizes are not stated, the sending time is what was taken less what the jam made of it.
+        // The sending time is the duration without the slowdown by the load of the cache.
         let sending = observation.latency() / (state.load / state.flows).max(1.0);
         if !observation.sized && hit {
             self.work[observation.class].add(sending, OBSERVATION_WEIGHT);
@@ -289,7 +293,7 @@
         item.work = Some(item.work.map_or(sending, |old| old.min(sending)));
         let at_source = choice.sibling && filled;
         let held_at = [hit.then_some(choice.edge), at_source.then_some(choice.source)];
-        // Danger: records of one that has left would outlive its copies until it is listed again.
+        // Skips servers that have left the list: their records would outlive their copies if they return.
         let listed = |server: &ServerId| self.servers.contains_key(server);
         for server in held_at.into_iter().flatten().filter(listed) {
             self.items.record_hit(key, server, self.now, HIT_RECORD_LIFETIME);
--- a/src/logic/membership.rs
+++ b/src/logic/membership.rs
@@ -1,21 +1,23 @@
-//! The endpoint list: which servers are known, and what a restart or a removal makes void.
+//! The endpoint list: applies its updates, and drops the observations that a restart or a removal
+//! invalidates.
 //!
-//! What is learned is of the servers that a request can go to or be filled from: the caches of the own
-//! location, parents and origins. Of all others only the entry is stored, so that a list of these servers
-//! alone leads to the same choices as the full one.
+//! Observations are stored only for the servers that a request can be sent to or filled from: the caches of
+//! the own location, parents and origins. For all others only the list entry is stored, so that a list of the
+//! former alone leads to the same decisions as the full list.
 use super::server::Server;
 use super::Router;
 use crate::interface::{Action, DatedStart, Host, Members, Scope, ServerId, State};
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Whether requests can go to a server or be filled from it: a cache of the own location, a parent or an
-    /// origin.
+    /// Whether requests can be sent to a server or filled from it: a cache of the own location, a parent or
+    /// an origin.
     fn is_reachable(&self, host: &Host) -> bool {
         let is_source = [self.settings.parent_kind, self.settings.origin_kind].contains(&Some(host.kind));
         is_source || host.zone == self.settings.zone
     }
 
+    /// Applies an update of the endpoint list.
     pub(super) fn on_members(&mut self, members: Members, actions: &mut Vec<Action>) {
         if self.settings.poll_endpoints && (!self.watching || members.scope == Scope::Failed) {
             self.watching = true;
@@ -26,7 +28,8 @@
         }
         let scope = members.scope;
         if scope == Scope::Full {
-            // Danger: a server that a complete list no longer names is gone, and a drain in all but name.
+            // A server missing from a complete list is treated as removed, so that nothing more is sent to
+            // it.
             let reachable = members.hosts.iter().filter(|host| self.is_reachable(host));
             let listed: BTreeSet<ServerId> = reachable.map(|host| host.server).collect();
             let unlisted: Vec<ServerId> =
@@ -41,7 +44,8 @@
                 continue;
             }
             if !self.is_reachable(&host) {
-                // Danger: one that moves to another location and back would be taken for the one that it was.
+                // Drops its observations: if it returns from another location later, it may be another
+                // process.
                 self.retire(id);
                 self.unreachable.insert(id, host);
                 continue;
@@ -54,7 +58,7 @@
             let known_start = server.started.unwrap_or(Host::STARTED_LONG_AGO);
             let restarted = host.started > server.host.started.max(known_start);
             if restarted {
-                // Danger: records of a cache that starts empty would name it for fills that must fail.
+                // Drops the hit records: a restarted cache is empty, so fills from it would fail.
                 let (in_flight, flows) = (server.in_flight, server.flows);
                 *server = Server { in_flight, flows, notified_at: self.now, ..Server::new(host) };
                 self.items.forget_server(id);
@@ -71,7 +75,7 @@
         self.count_caches();
     }
 
-    /// Starts are known better. A start that own failures have shown since stays as it is.
+    /// Applies more precise start times. A start inferred from own failed connections stays in force.
     pub(super) fn on_starts_dated(&mut self, starts: &[DatedStart]) {
         for &DatedStart { server, started } in starts {
             if let Some(s) = self.servers.get_mut(&server).filter(|s| started < s.host.started) {
@@ -86,12 +90,14 @@
         }
     }
 
+    /// Updates the number of caches of the own location that are up.
     pub(super) fn count_caches(&mut self) {
         self.own_caches_up = self.candidates.caches_up().max(1) as f64;
     }
 
-    /// The settings have another location or other kinds of sources: servers that requests can go to now are
-    /// known from their entries. What was learned of the others stays until the list names them again.
+    /// After a change of the own location or of the kinds of sources in the settings, adds the listed servers
+    /// that are now reachable. Observations of those no longer reachable stay until the list names them
+    /// again.
     pub(super) fn find_reachable(&mut self) {
         let unreachable = std::mem::take(&mut self.unreachable);
         for (id, host) in unreachable {
@@ -112,8 +118,9 @@
         self.servers.insert(id, server);
     }
 
-    /// Danger: over weeks of replaced servers, what is stored of each grows without end. But a list that
-    /// drops a server and names it again must not grant a new budget: what was sent counts for its span.
+    /// Forgets a server that left the list, so that memory does not grow over weeks of replaced servers. The
+    /// work recently sent to it is kept for its span: a list that drops a server and names it again must not
+    /// grant a new slow start budget.
     pub(super) fn retire(&mut self, id: ServerId) {
         self.unreachable.remove(&id);
         let (now, span) = (self.now, self.settings.overload_span);
--- a/src/logic/recent_work.rs
+++ b/src/logic/recent_work.rs
@@ -1,32 +1,32 @@
-//! Work that was sent to a server of late, as the budgets of slow start count it.
+//! Work recently sent to a server, as counted by the slow start budgets.
 use crate::statistics::SlidingSum;
 use crate::time::MonotonicTime;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A part of a request whose client stated no size: a fill may not reach its source.
+/// A share of a request without a stated size: a source counts only part of a request that may not reach it.
 #[derive(Debug, Clone, Copy)]
 struct UnsizedPart {
     class: usize,
-    /// From 0 to 1.
+    /// Share of the request's work, from 0 to 1.
     part: f64,
     /// Whether it has been answered.
     is_answered: bool,
 }
 
-/// One request, or a part of one.
+/// A request, or a share of one, sent to the server.
 #[derive(Debug, Clone, Copy)]
 struct SentRequest {
     at: MonotonicTime,
-    /// Microseconds that it counted for when it was sent.
+    /// Work in microseconds, as estimated when it was sent.
     work: f64,
-    /// None where its client stated its size.
+    /// None if the client stated the size.
     unsized_part: Option<UnsizedPart>,
 }
 
 impl SentRequest {
-    /// Microseconds that it counts for now; `work_of`: those of a request of a class. Danger: of those in
-    /// flight the short ones are answered first, so one that is not answered counts for no less than before.
+    /// Its work in microseconds by the present estimates; `work_of` gives that of a request of a class. Short
+    /// answers arrive first, so a request that is not yet answered counts with no less than when it was sent.
     fn work(&self, work_of: &impl Fn(usize) -> f64) -> f64 {
         let Some(UnsizedPart { class, part, is_answered }) = self.unsized_part else { return self.work };
         let work = part * work_of(class);
@@ -38,19 +38,20 @@
     }
 }
 
-/// What was sent to one server, in the order of time. Harm: by what they counted for when they were sent,
-/// the first requests of a class fill a budget for its whole span after their answers have shown them to be
-/// small. So an answered request counts for what its class is known to take when the budget is read.
+/// The requests recently sent to one server, in time order. An answered request counts with the estimate for
+/// its class at the time the budget is read: with the estimate at sending time, the first requests of a class
+/// would fill the budget for its whole span, even after their answers have shown them to be small.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RecentWork(VecDeque<SentRequest>);
 
 impl RecentWork {
-    /// Adds a request whose size is stated, in microseconds, and drops what is older than the span.
+    /// Adds a request with a stated size, as work in microseconds, and drops those older than the span.
     pub(super) fn add_sized(&mut self, work: f64, at: MonotonicTime, span: Duration) {
         self.add(SentRequest { at, work, unsized_part: None }, span);
     }
 
-    /// Adds a part of a request of a class, from 0 to 1, which counts for so many microseconds now.
+    /// Adds a share (from 0 to 1) of a request of a class without a stated size. `work` is the share's
+    /// present estimate in microseconds.
     pub(super) fn add_unsized(
         &mut self,
         class: usize,
@@ -70,7 +71,7 @@
         self.0.push_back(sent);
     }
 
-    /// A request of a class that was sent at this time has been answered.
+    /// Marks a request of a class that was sent at this time as answered.
     pub(super) fn answer(&mut self, class: usize, at: MonotonicTime) {
         let first = self.0.partition_point(|sent| sent.at < at);
         let sent_then = self.0.range_mut(first..).take_while(|sent| sent.at == at);
@@ -80,22 +81,24 @@
         }
     }
 
-    /// Microseconds sent in the span that ends at this time; `work_of`: those of a request of a class.
+    /// Work in microseconds sent in the span that ends at this time; `work_of` gives that of a request of a
+    /// class.
     pub(super) fn sum(&self, at: MonotonicTime, span: Duration, work_of: impl Fn(usize) -> f64) -> f64 {
         self.0.iter().filter(|sent| sent.at + span >= at).map(|sent| sent.work(&work_of)).sum()
     }
 
-    /// Microseconds sent later than this time.
+    /// Work in microseconds sent after this time.
     pub(super) fn after(&self, at: MonotonicTime, work_of: impl Fn(usize) -> f64) -> f64 {
         self.0.iter().rev().take_while(|sent| sent.at > at).map(|sent| sent.work(&work_of)).sum()
     }
 
-    /// The same as work alone, for whoever does not know the classes.
+    /// The requests as amounts of work in microseconds without their classes, for another process of the
+    /// router.
     pub(super) fn valued(&self, work_of: impl Fn(usize) -> f64) -> SlidingSum {
         self.0.iter().map(|sent| (sent.at, sent.work(&work_of))).collect()
     }
 
-    /// Values the requests of a class once and for all: its slot is another class's from now on.
+    /// Fixes the work of the requests of a class, whose slot is about to be taken by another class.
     pub(super) fn settle(&mut self, class: usize, work_of_class: f64) {
         for sent in &mut self.0 {
             if sent.unsized_part.is_some_and(|part| part.class == class) {
--- a/src/logic/retry.rs
+++ b/src/logic/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and hedged requests: when a further attempt is made, and when a silent one is given up.
+//! Retries and hedged requests: when a further attempt is made, and when an unanswered one is given up.
 use super::admission::{FAILED_FILL_WEIGHT, LATE_FILL_SHARE, RETRY_AFTER_DIVISOR};
 use super::ejection::{EJECTION_THRESHOLD, LONGEST_BACKOFF};
 use super::load::{LOAD_SPAN, USUAL_RATE_SPAN};
@@ -11,33 +11,34 @@
 use crate::time::{duration_micros, micros_f64};
 use std::time::Duration;
 
-/// A silent attempt is given up after this many times its expected time,
+/// Multiple of its expected duration after which an attempt without a response is overdue.
 const RESPONSE_TIMEOUT_FACTOR: f64 = 2.0;
-/// plus this span, for jitter.
+/// Time added to that multiple, to allow for jitter.
 const RESPONSE_TIMEOUT_MARGIN: Duration = Duration::from_millis(150);
-/// Time between checks of the attempts in flight.
+/// Interval between checks for overdue attempts.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Attempts for one request at most: more would become a storm of retries.
+/// Maximum number of attempts for one request, whatever the settings allow: more could cause a retry storm.
 const ATTEMPT_LIMIT: usize = 4;
-/// Hedged requests in flight at most, as a share of the open requests: a jam must not double itself.
+/// Maximum number of hedged requests in flight, as a share of the open requests: hedging must not double the
+/// load during congestion.
 const HEDGED_SHARE: f64 = 0.1;
-/// Hedged requests that may be in flight besides that share.
+/// Number of hedged requests that may be in flight in addition to that share.
 const HEDGED_MINIMUM: f64 = 2.0;
 
 /// The highest rank at which a copy is cached.
 const HIGHEST_RANK: u32 = 3;
 
-/// What became of an overdue attempt.
+/// The result of checking an attempt.
 #[derive(PartialEq)]
 enum Overdue {
-    /// It waits on, or is cancelled.
+    /// The attempt goes on or was cancelled.
     Waiting,
-    /// A hedged request was to be sent besides it.
+    /// A hedged request was to be sent in addition.
     Hedged,
 }
 
 impl Router {
-    /// Makes the next attempt of a request, or gives it up.
+    /// Makes the next attempt of a request, or rejects it if none is possible and none is in flight.
     pub(super) fn advance(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let class_index = open.req.class;
@@ -77,13 +78,13 @@
         actions.push(Action::Get(get));
     }
 
-    /// Where a server stands by the list.
+    /// Zone and cell of a server as listed.
     fn location(&self, server: ServerId) -> Location {
         let host = self.servers.get(&server).map(|server| &server.host);
         host.map_or_else(Location::default, |host| Location { zone: host.zone, cell: host.cell })
     }
 
-    /// Whether no further attempt is allowed, or none could end in time.
+    /// Whether no further attempt is allowed, or none could end before the client gives up.
     fn exhausted(&self, open: &OpenRequest, class: &Class) -> bool {
         let end = open.arrived + open.req.ttl;
         open.attempts.len() >= ATTEMPT_LIMIT.min(self.settings.attempts_of(class))
@@ -97,8 +98,9 @@
             }
     }
 
+    /// The attempt for a choice, with the time-out and cache parameters of the request.
     fn get_for(&self, open: &OpenRequest, class: &Class, choice: &Choice, response_timeout: Duration) -> Get {
-        // Only a failure justifies a stale copy; that a sibling lacked the object is none.
+        // A stale copy is acceptable only after a failure; a sibling without the object is not a failure.
         let grace = open.attempts.iter().any(|a| a.edge_failed || a.source_failed && !a.choice.sibling);
         let seen = self.items.get(&(open.req.object, open.req.part)).map_or(1, |i| i.seen.max(1));
         let cancel = self.settings.limits_of(open.req.class).cancel;
@@ -115,7 +117,8 @@
         }
     }
 
-    /// Counts an attempt's work at the servers that it reaches, in their slow start budgets as well.
+    /// Counts an attempt's work at its edge cache and source, for slow start budgets and the rate of work. An
+    /// attempt at an ejected server uses its trial until the next backoff has passed.
     fn record_sent_work(&mut self, choice: &Choice, class: usize, work: f64, is_sized: bool) {
         let (now, span) = (self.now, self.settings.overload_span);
         let record = choice.positive.edge;
@@ -130,12 +133,12 @@
             s.rate.add_pulse(work * share, now, USUAL_RATE_SPAN);
             self.candidates.rates_change();
             if !s.backoff.is_zero() && (server == choice.edge || !record) {
-                s.retry_at = now + s.backoff; // the one trial of this pause
+                s.retry_at = now + s.backoff; // This attempt is the single trial before the next backoff.
             }
         }
     }
 
-    /// Counts an attempt in flight and its indications. Returns whether its edge cache is known.
+    /// Counts an attempt in flight and its indications. Returns whether its edge cache is listed.
     fn count_attempt(&mut self, choice: &Choice) -> bool {
         let now = self.now;
         let Some(edge) = self.servers.get_mut(&choice.edge) else { return false };
@@ -152,7 +155,7 @@
         true
     }
 
-    /// Retries a request, or gives its final answer, where an outcome asks for it.
+    /// Records the outcome of an attempt, and if necessary retries its request or gives the final answer.
     pub(super) fn on_outcome(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
         let id = outcome.id;
         let Some(open) = self.open.get_mut(&id) else { return };
@@ -172,11 +175,12 @@
         if open.streaming || open.in_flight() > 0 {
             return;
         }
-        // Danger: each retry is one more call on an origin that is down for being asked too much.
+        // No retry after a failure of the origin: it would add load to an origin that may be overloaded.
         if outcome.note == Note::OriginFailed {
             return self.give_up(id, LONGEST_BACKOFF, actions);
         }
-        // Never sent, before the end: its store was withdrawn or a purge arrived while it waited.
+        // The client has given up. Otherwise an attempt that was never sent, because its store was removed or
+        // a purge arrived while it waited, is made elsewhere.
         if self.now >= open.arrived + open.req.ttl {
             actions.push(Action::Fail(id));
             return self.close(id, actions);
@@ -184,7 +188,7 @@
         self.advance(id, actions);
     }
 
-    /// Looks for attempts that are overdue, as often as [`CHECK_INTERVAL`] says.
+    /// Checks for overdue attempts; runs every [`CHECK_INTERVAL`] while requests are open.
     pub(super) fn on_timer(&mut self, actions: &mut Vec<Action>) {
         self.timer_set = false;
         let now = self.now;
@@ -203,8 +207,9 @@
         }
     }
 
-    /// Danger: an origin that is overrun answers nothing for a second, and is asked all that while.
-    /// Harm: a large object counts as late before it can be complete.
+    /// Counts fills in flight that are already late as failed: an overloaded origin may answer nothing for a
+    /// second, and would be sent fills all that time. The cost: a large object may count as late before it
+    /// can be complete.
     fn count_late_fills(&mut self) {
         let now = self.now;
         for open in self.open.values_mut().filter(|o| !o.closed) {
@@ -219,8 +224,9 @@
         }
     }
 
-    /// Danger: a server that takes work and answers none holds requests to their end. It is silent when an
-    /// attempt is overdue and nothing came from it since. Harm: one that is only slow rests for a moment.
+    /// Checks an overdue attempt. If its server has sent no response to any attempt since, records a failure
+    /// and sends a hedged request or cancels the attempt: a server that accepts work without answering would
+    /// hold requests until their clients give up. The cost: a merely slow server may be ejected for a moment.
     fn check_overdue(&mut self, id: RequestId, hedge: bool, actions: &mut Vec<Action>) -> Overdue {
         let Some(open) = self.open.get_mut(&id) else { return Overdue::Waiting };
         let single_attempt =
--- a/src/logic/ring.rs
+++ b/src/logic/ring.rs
@@ -1,13 +1,13 @@
-//! Weighted rendezvous hashing over a set of servers that is kept up as the list changes. Nothing is decided
-//! here: the caller says who is fit.
+//! Weighted rendezvous hashing over a set of servers that follows the endpoint list. Nothing is decided here:
+//! the caller filters the servers.
 use crate::hashing::{rank_of, rendezvous_seed, unit};
 use crate::interface::ServerId;
 use std::cell::Cell;
 
-/// Relative error allowed for in a lower bound of a place: far above that of a logarithm.
+/// Tolerated relative error of a rank's lower bound: far above the rounding error of a logarithm.
 const RELATIVE_ERROR: f64 = 1e-12;
 
-/// A server as the shared hash sees it.
+/// A server with its hash seed and weight.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     server: ServerId,
@@ -15,11 +15,11 @@
     weight: f64,
 }
 
-/// Servers that share objects by weighted rendezvous hashing, in the order of their ids.
+/// Servers that share objects by weighted rendezvous hashing, ordered by id.
 #[derive(Debug, Default)]
 pub(super) struct Ring {
     candidates: Vec<Candidate>,
-    /// Places drawn since the start.
+    /// Number of ranks computed since the start.
     drawn: Cell<u64>,
 }
 
@@ -33,49 +33,48 @@
         }
     }
 
-    /// Takes a server out, if it is in.
+    /// Removes a server, if present.
     pub fn remove(&mut self, server: ServerId) {
         if let Ok(at) = self.find(server) {
             self.candidates.remove(at);
         }
     }
 
-    /// Takes all servers out.
+    /// Removes all servers.
     pub fn clear(&mut self) {
         self.candidates.clear();
     }
 
-    /// The servers, in the order of their ids.
+    /// The ids of the servers, in ascending order.
     pub fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.candidates.iter().map(|candidate| candidate.server)
     }
 
-    /// Whether a server is in.
+    /// Whether the ring contains a server.
     pub fn contains(&self, server: ServerId) -> bool {
         self.find(server).is_ok()
     }
 
-    /// The place of a server for a key; none if it is not in.
+    /// The rank of a server for a key, lowest first; none if the ring does not contain it.
     pub fn place(&self, key: u64, server: ServerId) -> Option<f64> {
         let candidate = self.candidates[self.find(server).ok()?];
         Some(rank_of(unit(key ^ candidate.seed), candidate.weight))
     }
 
-    /// The accepted server whose place for a key is the first; the lesser id goes first where two are the
-    /// same. Asks only of servers that come before the best so far whether they are accepted: of some ln(n)
-    /// of them, mostly.
+    /// The accepted server with the lowest rank for a key; the lower id wins a tie. Calls `accept` only for
+    /// servers that rank before the best one so far, usually about ln(n) of them.
     pub fn first(&self, key: u64, accept: impl Fn(ServerId) -> bool) -> Option<ServerId> {
         self.drawn.set(self.drawn.get() + self.candidates.len() as u64);
         let mut best: Option<(f64, ServerId)> = None;
         for candidate in &self.candidates {
             let drawn = unit(key ^ candidate.seed);
-            // -ln(x) is at least 1 - x, so that the logarithm is needed for few.
+            // -ln(x) is at least 1 - x, so the logarithm is computed for few servers only.
             let lower_bound = (1.0 - drawn) / candidate.weight * (1.0 - RELATIVE_ERROR);
             if best.is_some_and(|(place, _)| lower_bound > place) {
                 continue;
             }
             let place = rank_of(drawn, candidate.weight);
-            // Of two with the same place the one before, with the lesser id, stays.
+            // Candidates are ordered by id, so on a tie the earlier one has the lower id.
             let before = best.is_none_or(|(first, _)| place.total_cmp(&first).is_lt());
             if before && accept(candidate.server) {
                 best = Some((place, candidate.server));
@@ -84,7 +83,7 @@
         best.map(|(_, server)| server)
     }
 
-    /// Places drawn since the start.
+    /// Number of ranks computed since the start.
     pub fn drawn(&self) -> u64 {
         self.drawn.get()
     }
--- a/src/logic/server.rs
+++ b/src/logic/server.rs
@@ -7,7 +7,7 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Time taken over sending time, as it was last observed.
+/// The pace of a server, time taken over sending time, with the time of its last observation.
 #[derive(Debug, Clone, Copy, Default)]
 #[cfg_attr(
     feature = "serde",
@@ -39,33 +39,33 @@
     pub host: Host,
     /// When it started, as listed or as its failures suggest.
     pub started: Option<MonotonicTime>,
-    /// When this router was notified of that start.
+    /// When this router learned of that start.
     pub notified_at: MonotonicTime,
-    /// Its indications, as edge cache and as source.
+    /// Quality of its indications as edge cache and as source.
     pub roles: PerRole<Indicator>,
-    /// Attempts in flight to it.
+    /// Attempts in flight at the server.
     pub in_flight: DecayingLevel,
-    /// Transfers that it carries at full pace.
+    /// Observed number of transfers that it carries at full pace; none before any observation.
     pub flows: Option<f64>,
-    /// Work sent of late by this process.
+    /// Work recently sent by this process.
     pub sent: RecentWork,
-    /// Work (µs) sent of late by other processes of the same router.
+    /// Work (µs) recently sent by other processes of the same router.
     pub sent_by_others: SlidingSum,
-    /// The usual rate of the work sent.
+    /// Rate of the work sent to it.
     pub rate: DecayingLevel,
-    /// Share of failed answers of late, from 0 to 1.
+    /// Moving average of the share of failed answers, from 0 to 1.
     pub failure_share: f64,
-    /// Whether no connection was had, and no success has come since.
+    /// Whether a connection to it failed and no attempt has succeeded since.
     pub lost: bool,
-    /// Time taken over sending time of late.
+    /// Recent time taken over sending time.
     pub pace: Pace,
-    /// The pause between single trials while it is ejected; zero while it is not.
+    /// Pause between single trials after an ejection; zero once it has recovered.
     pub backoff: Duration,
-    /// When the next trial may go to it.
+    /// When the next trial may be sent to it.
     pub retry_at: MonotonicTime,
     /// When an attempt at it last ended with a response.
     pub last_response: MonotonicTime,
-    /// When it last supplied a fill.
+    /// When it last delivered a fill.
     pub last_fill: MonotonicTime,
 }
 
--- a/src/logic/state.rs
+++ b/src/logic/state.rs
@@ -1,34 +1,35 @@
-//! Plain records of what is known of indications, attempts and requests; nothing is decided here.
+//! State of indications, attempts and requests; nothing is decided here.
 use crate::interface::{Request, ServerId};
 use crate::records::Choice;
 use crate::statistics::DecayingMean;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// How long a hit record counts; about as long as a cache holds what nobody requests.
+/// How long a hit record is valid: about as long as a cache keeps an object that nobody requests.
 pub(super) const HIT_RECORD_LIFETIME: Duration = Duration::from_secs(12);
 /// Requests in an epoch of q (the paper's T) of one cache in one role: seconds of its traffic.
 pub(super) const CACHE_EPOCH_REQUESTS: u32 = 50;
-/// Requests in an epoch of q (the paper's T) of all caches taken together.
+/// Requests in an epoch of q (the paper's T) of all caches together.
 pub(super) const FLEET_EPOCH_REQUESTS: u32 = 8;
 /// Weight of the newest epoch in q (the paper's delta).
 const EPOCH_WEIGHT: f64 = 0.25;
-/// Weight of the newest observation in an aged mean: about the last twenty count.
+/// Weight of the newest observation in a moving average: about the last twenty count.
 pub(super) const OBSERVATION_WEIGHT: f64 = 0.05;
-/// FP of a role before any observation in it; with the next two, a guess that makes a first look pay.
+/// FP of a role before any observation. With these values of FP, FN and q, a first request to an unobserved
+/// sibling is worth its cost.
 pub(super) const INITIAL_FALSE_POSITIVES: f64 = 0.2;
-/// FN of a role before any observation in it.
+/// FN of a role before any observation.
 pub(super) const INITIAL_FALSE_NEGATIVES: f64 = 0.4;
-/// q of a role before any observation in it.
+/// q of a role before any observation.
 pub(super) const INITIAL_POSITIVES: f64 = 0.4;
-/// Microseconds: the miss penalty before any was observed.
+/// Miss penalty in microseconds before any observation.
 pub(super) const INITIAL_MISS_PENALTY: f64 = 150_000.0;
-/// Microseconds: a sibling's access cost before any was observed.
+/// Access cost in microseconds before any observation.
 pub(super) const INITIAL_ACCESS_COST: f64 = 15_000.0;
-/// Microseconds: a class's sending time before any was observed.
+/// Sending time of a class in microseconds before any observation.
 pub(super) const INITIAL_SENDING_TIME: f64 = 100_000.0;
 
-/// What is known of the indications (hit records) of one cache in one role.
+/// Quality of the indications (hit records) of one cache in one role.
 #[derive(Debug, Clone, Copy, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub(super) struct Indicator {
@@ -36,18 +37,18 @@
     pub false_positives: DecayingMean,
     /// FN of the paper.
     pub false_negatives: DecayingMean,
-    /// Share of positive indications, by epochs: q of the paper.
+    /// q of the paper: share of positive indications, updated once per epoch.
     pub q: Option<f64>,
     /// Indications counted in this epoch.
     pub asked: u32,
-    /// Of these, the positive ones.
+    /// Positive indications counted in this epoch.
     pub positive: u32,
-    /// Mean hit latency, less the sending time that every choice pays alike.
+    /// Mean hit latency in microseconds, without the sending time, which is the same for every choice.
     pub cost: DecayingMean,
 }
 
 impl Indicator {
-    /// Counts an indication; q moves once an epoch, Eq. (10).
+    /// Counts an indication; q is updated once per epoch by Eq. (10).
     pub(super) fn count(&mut self, positive: bool, epoch: u32) {
         self.asked += 1;
         self.positive += u32::from(positive);
@@ -61,103 +62,110 @@
     pub(super) fn is_observed(&self) -> bool {
         self.false_positives.0.or(self.false_negatives.0).or(self.q).or(self.cost.0).is_some()
     }
+    /// Updates FP or FN with an indication and whether the cache had the object.
     pub(super) fn observe(&mut self, positive: bool, hit: bool) {
         let wrong = if hit { &mut self.false_negatives } else { &mut self.false_positives };
         wrong.add(f64::from(u8::from(positive != hit)), OBSERVATION_WEIGHT);
     }
 }
 
-/// Where a server stood when an attempt went to it: the list may say otherwise by now, or name it no more.
+/// Zone and cell of a server when an attempt was sent to it. The server may since have moved or left the
+/// list.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Location {
     pub zone: usize,
     pub cell: u64,
 }
 
-/// An attempt that may have run.
+/// The first attempt of a request that may have been executed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FirstRun {
     pub sent: MonotonicTime,
-    /// Where its edge cache stood.
+    /// Location of its edge cache.
     pub location: Location,
 }
 
 /// One attempt of a request.
 #[derive(Default)]
 pub(super) struct Attempt {
-    /// Where it went.
+    /// The chosen servers.
     pub choice: Choice,
-    /// Where its edge cache stood.
+    /// Location of its edge cache.
     pub location: Location,
     pub sent: MonotonicTime,
-    /// When it is overdue.
+    /// When it is next checked for being overdue.
     pub check_at: MonotonicTime,
-    /// How long it may be silent.
+    /// How long it may go without a response before it is overdue.
     pub response_timeout: Duration,
-    /// Whether its outcome is in.
+    /// Whether its outcome has been received.
     pub done: bool,
     pub cancelled: bool,
+    /// Whether its edge cache failed.
     pub edge_failed: bool,
+    /// Whether its source failed or lacked the object.
     pub source_failed: bool,
-    /// Whether it has counted as a fill that comes too late.
+    /// Whether it has already been counted as a late fill.
     pub late: bool,
-    /// Whether it is of the first sample of its class's work.
+    /// Whether it belongs to the sample that estimates the work of its class.
     pub sampled: bool,
 }
 
 impl Attempt {
-    /// This attempt, as one that may have run.
+    /// This attempt as the first one that may have been executed.
     pub(super) fn as_first_run(&self) -> FirstRun {
         FirstRun { sent: self.sent, location: self.location }
     }
 
-    /// Whether a parent or the origin fetches what it lacks.
+    /// Whether its source, a parent or the origin, may fetch what it does not have.
     pub(super) fn fetches(&self) -> bool {
         let Choice { edge, source, sibling, cached_only, link, .. } = self.choice;
         link && !sibling && !cached_only && source != edge
     }
 }
 
-/// A request not yet forgotten.
+/// A request without a final answer, or with attempts still in flight.
 #[derive(Default)]
 pub(super) struct OpenRequest {
     pub req: Request,
     pub arrived: MonotonicTime,
-    /// Microseconds: the expected sending time.
+    /// Expected sending time in microseconds.
     pub work: f64,
-    /// Whether the client named the size.
+    /// Whether the client stated the size.
     pub sized: bool,
-    /// Whether the sending time is of this object, not of its class.
+    /// Whether the sending time was observed for this object, not just for its class.
     pub work_known: bool,
     pub attempts: Vec<Attempt>,
-    /// Its final answer is given, or the client has left.
+    /// Whether the final answer was given or the client has disconnected.
     pub closed: bool,
+    /// Whether its answer is being streamed to the client.
     pub streaming: bool,
-    /// First attempt that may have run.
+    /// The first attempt that may have been executed.
     pub first_run: Option<FirstRun>,
 }
 
-/// What is wanted of a sibling.
+/// A request for which a sibling is sought.
 pub(super) struct SiblingQuery<'a> {
+    /// Rendezvous hashing key of the requested part.
     pub key: u64,
-    /// The sending time, and the one by which budgets go.
+    /// Expected sending time in microseconds.
     pub work: f64,
+    /// Work in microseconds that slow start budgets count.
     pub budget_work: f64,
-    /// The servers with a record of a hit.
+    /// The servers with a recorded hit.
     pub holders: &'a [ServerId],
 }
 
-/// What a request costs at an edge cache.
+/// Expected cost of a request at an edge cache, in microseconds.
 pub(super) struct EdgeCost {
     pub server: ServerId,
-    /// Its access cost.
+    /// Access cost of the edge cache.
     pub access: f64,
-    /// The miss penalty times the chance of a miss there.
+    /// The miss penalty times the probability of a miss at the edge cache.
     pub miss: f64,
 }
 
 impl EdgeCost {
-    /// Eq. (11), with a source of this access cost and chance of a miss.
+    /// Eq. (11) for a source with this access cost and probability of a miss.
     pub fn with_source(&self, source_access: f64, source_miss: f64) -> f64 {
         self.access + source_access + self.miss * source_miss
     }
--- a/src/logic/subset.rs
+++ b/src/logic/subset.rs
@@ -5,15 +5,15 @@
 use crate::interface::ServerId;
 use std::collections::BTreeMap;
 
-/// Caches in a router's subset; a location with no more of them up is used as a whole.
+/// Maximum number of caches in a router's subset; a location with no more caches up is used as a whole.
 ///
-/// At sixteen times the stores, a router may make 2.5 times its usual connections and 40 more, and may hold
-/// twice its usual descriptors and 40 more. What does not depend on the usual number holds at every site: 40.
-/// A fifth of that is left for connections made outside of the subset and to members that were replaced.
-/// Fewer would hold as well, but an object then stands in the caches of more subsets.
+/// At sixteen times the stores, a router may make 2.5 times its usual connections plus 40, and may hold twice
+/// its usual descriptors plus 40. Only the constant 40 applies at every site. A fifth of it is left for
+/// connections outside the subset and to replaced members. A smaller subset would satisfy the bounds as well,
+/// but each object would then be cached by more subsets.
 pub(super) const SUBSET_SIZE: usize = 32;
 
-/// The rank of a cache for one router, the least first; the id decides between the same numbers.
+/// The rank of a cache for one router, lowest first; the id breaks ties.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     drawn: u64,
@@ -21,25 +21,25 @@
 }
 
 impl Rank {
-    /// Weights do not count: a cache's share of the work follows its weight within each subset.
+    /// Ignores weights: within each subset, a cache's share of the work already follows its weight.
     fn new(router: u64, server: ServerId) -> Rank {
         Rank { drawn: mix(mix(router) ^ rendezvous_seed(server)), server }
     }
 }
 
-/// The caches of the own location that are up, with their weights, by their ranks for this router.
+/// The caches of the own location that are up, with their weights, ordered by their ranks for this router.
 #[derive(Debug, Default)]
 pub(super) struct CacheSubset {
-    /// The first of them in rank, [`SUBSET_SIZE`] at most.
+    /// The members of the subset: the first caches in rank, at most [`SUBSET_SIZE`].
     ranked_members: BTreeMap<Rank, f64>,
-    /// All others.
+    /// All other caches.
     others: BTreeMap<Rank, f64>,
-    /// The members as the shared hash sees them.
+    /// The members, for rendezvous hashing.
     members: Ring,
 }
 
 impl CacheSubset {
-    /// Adds a cache, or changes its weight: at most one member gives its place to it.
+    /// Adds a cache, or changes its weight; replaces at most one member of the subset.
     pub fn set(&mut self, router: u64, server: ServerId, weight: f64) {
         let rank = Rank::new(router, server);
         if let Some(known) = self.others.get_mut(&rank) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes a cache out, if it is in: the next in rank takes its place.
+    /// Removes a cache, if present; the next in rank replaces it in the subset.
     pub fn remove(&mut self, router: u64, server: ServerId) {
         let rank = Rank::new(router, server);
         self.others.remove(&rank);
@@ -65,24 +65,24 @@
         }
     }
 
-    /// Takes all caches out.
+    /// Removes all caches.
     pub fn clear(&mut self) {
         self.ranked_members.clear();
         self.others.clear();
         self.members.clear();
     }
 
-    /// The members; none where all caches that are up are members.
+    /// The members of the subset; none if all caches that are up are members.
     pub fn members(&self) -> Option<&Ring> {
         (!self.others.is_empty()).then_some(&self.members)
     }
 
-    /// How many caches are up.
+    /// Number of caches that are up.
     pub fn caches_up(&self) -> usize {
         self.ranked_members.len() + self.others.len()
     }
 
-    /// Places drawn since the start.
+    /// Number of ranks computed since the start.
     pub fn drawn(&self) -> u64 {
         self.members.drawn()
     }
--- a/src/logic/subset/tests.rs
+++ b/src/logic/subset/tests.rs
@@ -1,15 +1,15 @@
-//! The subset against its definition, and how it is spread over a location.
+//! Compares the subset with its definition, and checks how subsets are spread over a location.
 use super::*;
 use std::collections::BTreeSet;
 
-/// Caches of a location of which a subset is much smaller.
+/// Number of caches of a location that is much larger than a subset.
 const CACHES: u64 = 512;
 
 fn cache(number: u64) -> ServerId {
     mix(number + 1)
 }
 
-/// The subset of a router, with these caches up.
+/// The subset of a router while these caches are up.
 fn subset_of(router: u64, caches: impl Iterator<Item = ServerId>) -> CacheSubset {
     let mut subset = CacheSubset::default();
     caches.for_each(|id| subset.set(router, id, 1.0));
@@ -20,14 +20,14 @@
     subset.ranked_members.keys().map(|rank| rank.server).collect()
 }
 
-/// The definition: the first caches in rank of all that are up.
+/// The definition of the subset: the first caches in rank of all that are up.
 fn first_in_rank(router: u64, caches: &BTreeSet<ServerId>) -> BTreeSet<ServerId> {
     let mut ranks: Vec<Rank> = caches.iter().map(|&id| Rank::new(router, id)).collect();
     ranks.sort();
     ranks.iter().take(SUBSET_SIZE).map(|rank| rank.server).collect()
 }
 
-/// Invariant 9.
+/// Invariant 9 of docs/design/large-fleet.md.
 #[test]
 fn a_location_that_a_subset_can_hold_is_used_as_a_whole() {
     for caches in 0..=SUBSET_SIZE as u64 {
@@ -40,7 +40,8 @@
     assert_eq!(ids.len(), SUBSET_SIZE);
 }
 
-/// Invariants 9 and 12: the same set whatever the order of the events, and one member moves at most.
+/// Invariants 9 and 12: the subset does not depend on the order of the events, and each event moves at most
+/// one member.
 #[test]
 fn a_subset_is_the_first_caches_in_rank_and_moves_by_one_member_at_each_change_of_the_list() {
     for router in 0..20 {
@@ -48,7 +49,7 @@
         for step in 0..2_000 {
             let id = cache(mix(router << 32 ^ step) % 80);
             let before = members_of(&subset);
-            // Twice as many joins as leaves, so that the location is mostly large.
+            // Adds twice as often as it removes, so that the location is mostly larger than a subset.
             if mix(step).is_multiple_of(3) {
                 subset.remove(router, id);
                 up.remove(&id);
@@ -67,7 +68,7 @@
     }
 }
 
-/// Invariant 12: a change at a cache that is no member, or back and forth, moves nothing in the end.
+/// Invariant 12: a cache that leaves and returns, member or not, changes nothing.
 #[test]
 fn a_cache_that_leaves_and_returns_leaves_the_subset_as_it_was() {
     let mut subset = subset_of(3, (0..CACHES).map(cache));
@@ -79,7 +80,7 @@
     }
 }
 
-/// Invariant 10: each cache is in about as many subsets as any other, whatever the routers' seeds.
+/// Invariant 10: all caches are in about the same number of subsets, whatever the routers' seeds.
 #[test]
 fn each_cache_is_in_about_as_many_subsets_as_any_other() {
     const ROUTERS: u64 = 1_600;
@@ -91,7 +92,7 @@
                 subsets_of[number as usize] += u32::from(subset.contains(&cache(number)));
             }
         }
-        // The deviation of a share drawn for each router on its own, five times.
+        // Five standard deviations of independent draws for each router.
         let mean = ROUTERS as f64 * SUBSET_SIZE as f64 / CACHES as f64;
         let most_off = 5.0 * mean.sqrt();
         for (number, count) in subsets_of.iter().enumerate() {
@@ -108,7 +109,7 @@
         let mut weighted = CacheSubset::default();
         (0..CACHES).for_each(|number| weighted.set(router, cache(number), 1.0 + (number % 7) as f64));
         assert_eq!(members_of(&plain), members_of(&weighted));
-        // A new weight is that of the next member, too.
+        // A cache outside the subset keeps a changed weight when it becomes a member.
         let first = *weighted.others.keys().next().expect("a cache outside");
         weighted.set(router, first.server, 40.0);
         let member = *members_of(&weighted).iter().next().expect("a member");
--- a/src/logic/unsized_work.rs
+++ b/src/logic/unsized_work.rs
@@ -1,38 +1,40 @@
-//! What a request of a class whose clients state no sizes counts for in the budgets of slow start.
+//! Estimates the work of a request without a stated size, for the slow start budgets.
 use super::state::OBSERVATION_WEIGHT;
 use crate::statistics::DecayingMean;
 
-/// Attempts that are the first sample of a class, in the order in which they begin.
+/// Number of attempts in the initial sample of a class: the first ones to begin.
 const SAMPLE_SIZE: u32 = 20;
-/// How many observations the assumption before any of them counts for.
+/// Weight of the assumed work in the estimate, as a number of observations.
 const ASSUMPTION_WEIGHT: f64 = 2.0;
 
-/// The work of one class. Danger: all routers take a request for less than it is, and push over a server that
-/// has started. Answers that come first are the short ones, so an attempt of the first sample counts as what
-/// is assumed until it has ended. Harm: where less is true, servers idle until some answers have come.
+/// The estimated work of one class. An estimate that is too low would make all routers together overload a
+/// server that has just started. Short answers arrive first, so each attempt of the sample counts with the
+/// assumed work until it has ended. The cost: if the real work is less, servers idle until answers arrive.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct UnsizedWork {
+    /// Attempts of the sample that have begun.
     begun: u32,
     /// Attempts of the sample that have ended with an observation.
     observed: u32,
-    /// Microseconds: the sum of these.
+    /// Sum of these observations in microseconds.
     total: f64,
-    /// Microseconds: the aged mean, once the sample is complete.
+    /// Moving average in microseconds, once the sample is complete.
     mean: DecayingMean,
 }
 
 impl UnsizedWork {
-    /// An attempt begins. Returns whether it is one of the sample.
+    /// Counts an attempt that begins. Returns whether it belongs to the sample.
     pub(super) fn begin(&mut self) -> bool {
         let is_sampled = self.begun < SAMPLE_SIZE;
         self.begun += u32::from(is_sampled);
         is_sampled
     }
 
-    /// An attempt of the sample has ended. `work`: what it showed, in microseconds; none: nothing.
+    /// Counts the end of an attempt of the sample. `work` is its observed work in microseconds; none if it
+    /// showed nothing.
     pub(super) fn end_sampled(&mut self, work: Option<f64>, assumed: f64) {
         if self.observed == self.begun {
-            return; // The class has begun anew meanwhile.
+            return; // The sample of the class was reset in the meantime.
         }
         let Some(work) = work else {
             self.begun -= 1;
@@ -45,14 +47,14 @@
         }
     }
 
-    /// An attempt that was not one of the sample has shown this work, in microseconds.
+    /// Adds the observed work of an attempt outside the sample, in microseconds.
     pub(super) fn observe(&mut self, work: f64) {
         if self.mean.0.is_some() {
             self.mean.add(work, OBSERVATION_WEIGHT);
         }
     }
 
-    /// What a request counts for, in microseconds; `assumed`: as long as nothing was observed.
+    /// The estimated work of a request in microseconds; `assumed` is the work before any observation.
     pub(super) fn estimate(&self, assumed: f64) -> f64 {
         let unobserved = ASSUMPTION_WEIGHT + f64::from(self.begun - self.observed);
         let sample_mean = (unobserved * assumed + self.total) / (ASSUMPTION_WEIGHT + f64::from(self.begun));
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -1,40 +1,40 @@
-//! What can be seen of a router from outside; nothing is decided here.
+//! Read-only views of a router for its caller; nothing is decided here.
 use super::Router;
 use crate::interface::ServerId;
 use crate::time::MonotonicTime;
 
-/// Entries that were touched to decide.
+/// Numbers of entries touched by decisions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntriesTouched {
-    /// Servers looked at.
+    /// Servers examined one by one.
     pub servers: u64,
-    /// Places drawn by the shared hash, one a candidate and search.
+    /// Ranks computed by rendezvous hashing, one for each candidate of a search.
     pub places: u64,
 }
 
-/// Why the module gave a request up by itself.
+/// Why the router rejected a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RejectionReason {
-    /// No further attempt is allowed, or none could end in time.
+    /// No further attempt is allowed, or none could end before the client gives up.
     AttemptsExhausted,
-    /// No cache that it may go to is up and not ejected.
+    /// No cache of the location is up and not ejected.
     NoServer,
-    /// All of these are warming up, and the budgets of slow start are used.
+    /// The caches that are up are warming up, and their slow start budgets are used up.
     SlowStart,
-    /// Servers could be asked, but no answer would be in time, or fills are withheld.
+    /// A cache could be asked, but no answer would meet the latency objective, or fills are withheld.
     NotInTime,
 }
 
-/// Requests that the module has given up by itself since the start, by the reason.
+/// Numbers of requests that the router has rejected since its start, by reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RejectionCounts {
-    /// No further attempt was allowed, or none could have ended in time.
+    /// No further attempt was allowed, or none could have ended before the client gave up.
     pub attempts_exhausted: u64,
-    /// No cache that it might have gone to was up and not ejected.
+    /// No cache of the location was up and not ejected.
     pub no_server: u64,
-    /// All of these were warming up, and the budgets of slow start were used.
+    /// The caches that were up were warming up, and their slow start budgets were used up.
     pub slow_start: u64,
-    /// Servers could be asked, but no answer would have been in time, or fills were withheld.
+    /// A cache could be asked, but no answer would have met the latency objective, or fills were withheld.
     pub not_in_time: u64,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Router {
-    /// Requests that were given up, by the reason.
+    /// Numbers of rejected requests by reason.
     pub fn rejections(&self) -> RejectionCounts {
         self.rejections
     }
@@ -60,18 +60,17 @@
         self.servers.values().filter(move |s| self.warm_share_at(s, now) < 1.0).map(|s| s.host.server)
     }
 
-    /// How many servers are listed.
+    /// Number of listed servers.
     pub fn servers(&self) -> usize {
         self.servers.len() + self.unreachable.len()
     }
 
-    /// What deciding has cost since the start: servers looked at one by one, and places drawn by the shared
-    /// hash.
+    /// The cost of all decisions since the start, as numbers of entries touched.
     pub fn entries_touched(&self) -> EntriesTouched {
         EntriesTouched { servers: self.candidates.examined(), places: self.candidates.drawn() }
     }
 
-    /// The servers that it avoids now by its own choice: those left to single trials after failures.
+    /// The servers that are ejected now: they get single trial requests only.
     pub fn avoided(&self, now: MonotonicTime) -> impl Iterator<Item = ServerId> + '_ {
         self.servers.values().filter(move |s| s.is_ejected(now)).map(|s| s.host.server)
     }
--- a/src/purges.rs
+++ b/src/purges.rs
@@ -1,14 +1,14 @@
-//! Purges remembered until no older copy can come back, ordered by expiry. Plain data: for how long a purge
-//! is remembered, and what follows from one, is decided by the user of the table.
+//! A table of purges, each stored until no older copy can reappear, ordered by expiry. The table decides
+//! nothing: its user chooses how long a purge is stored and what follows from it.
 use crate::interface::ObjectId;
 use crate::time::MonotonicTime;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most purges remembered: those of 50 seconds at 1,000 a second. Purges are remembered for a few times the
-/// purge window (about 9 s at most), so the bound holds that rate; a full table takes about 5 MB.
+/// Maximum number of stored purges: 50 seconds of them at 1,000 a second. Purges are stored for a few times
+/// the purge window (at most about 9 s), so the table holds that rate; a full table takes about 5 MB.
 pub const MAX_PURGES: usize = 50_000;
 
-/// What a purge concerns.
+/// What a purge applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PurgeTarget {
     /// All copies of an object.
@@ -18,14 +18,14 @@
 }
 
 impl PurgeTarget {
-    /// The object, or all of the group without one: an object's purge holds whatever its group is.
+    /// Targets the object if there is one, otherwise the group. The purge of an object applies whatever its
+    /// group is.
     pub fn new(object: Option<ObjectId>, group: u64) -> Self {
         object.map_or(PurgeTarget::Group(group), PurgeTarget::Object)
     }
 }
 
-/// A remembered purge: copies given out at `issued` or before are void, `until` there can be no such copies
-/// any more.
+/// A stored purge: copies from `issued` or earlier are invalid, and none of them can reappear after `until`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Purge {
     issued: MonotonicTime,
@@ -33,29 +33,29 @@
 }
 
 impl Purge {
-    /// Both in one: neither moves back.
+    /// Combines two purges of the same target by the later of both times.
     fn merge(self, other: Purge) -> Purge {
         Purge { issued: self.issued.max(other.issued), until: self.until.max(other.until) }
     }
 }
 
-/// The latest purge of each object and group. Recording one costs O(log n), however many are remembered.
+/// The latest purge of each object and group. Recording one takes O(log n) time.
 #[derive(Debug, Default)]
 pub struct PurgeTable {
-    /// At most [`MAX_PURGES`]; at the bound the one that expires first turns into `floor`.
+    /// At most [`MAX_PURGES`]; beyond that, the one that expires first is merged into `floor`.
     latest: BTreeMap<PurgeTarget, Purge>,
-    /// The same purges by the moment until which they are remembered.
+    /// The same purges, ordered by expiry.
     by_expiry: BTreeSet<(MonotonicTime, PurgeTarget)>,
-    /// Concerns all objects: purges that there is no room for, or that were missed.
+    /// Applies to all objects: stands for purges that did not fit into the table or were missed.
     floor: Option<Purge>,
-    /// Until then, purges that were missed may not be done everywhere.
+    /// Time by which all missed purges have taken effect at every server.
     missed_until: MonotonicTime,
-    /// Entries read, written or removed since the table was made.
+    /// Number of entries read, written or removed since the table was created.
     touched: u64,
 }
 
 impl PurgeTable {
-    /// Records a purge, to be remembered until a moment. Purges that expired before `now` are dropped.
+    /// Records a purge, to be stored until `until`, and drops the purges that have expired by `now`.
     pub fn record(
         &mut self,
         now: MonotonicTime,
@@ -79,53 +79,52 @@
         }
     }
 
-    /// Records that purges of anything up to `issued` may have been missed: all older copies are void, which
-    /// is remembered until a time.
+    /// Records that any purges up to `issued` may have been missed: all copies up to that time are invalid.
+    /// The record is stored until `until`.
     pub fn raise_floor(&mut self, issued: MonotonicTime, until: MonotonicTime) {
         let new = Purge { issued, until };
         self.floor = Some(self.floor.map_or(new, |floor| floor.merge(new)));
     }
 
-    /// Records that purges were missed, of which nothing more is known; until a time they may not be done
-    /// everywhere.
+    /// Records that unknown purges were missed, which take effect at every server by `until`.
     pub fn record_missed(&mut self, until: MonotonicTime) {
         self.missed_until = self.missed_until.max(until);
     }
 
-    /// Whether purges that were missed may not be done everywhere.
+    /// Whether missed purges may not yet have taken effect at every server.
     pub fn is_missed_pending(&self, now: MonotonicTime) -> bool {
         now < self.missed_until
     }
 
-    /// When the object was purged last, by itself, with its group, or by the floor; none if that is
-    /// forgotten.
+    /// When the object was last purged, by itself, with its group, or by the floor; none if there is no such
+    /// purge or it has expired.
     pub fn latest(&self, now: MonotonicTime, object: ObjectId, group: u64) -> Option<MonotonicTime> {
         let targets = [PurgeTarget::Object(object), PurgeTarget::Group(group)];
         let existing = targets.iter().filter_map(|target| self.latest.get(target));
         existing.chain(&self.floor).filter(|purge| now < purge.until).map(|purge| purge.issued).max()
     }
 
-    /// All purges remembered, with the time of each.
+    /// All stored purges and the time of each.
     pub fn iter(&self) -> impl Iterator<Item = (PurgeTarget, MonotonicTime)> + '_ {
         self.latest.iter().map(|(target, purge)| (*target, purge.issued))
     }
 
-    /// The time up to which all copies are void, if there is one.
+    /// The time up to which all copies are invalid, if there is one.
     pub fn floor(&self) -> Option<MonotonicTime> {
         self.floor.map(|floor| floor.issued)
     }
 
-    /// How many are remembered.
+    /// Number of stored purges.
     pub fn len(&self) -> usize {
         self.latest.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no purge is stored.
     pub fn is_empty(&self) -> bool {
         self.latest.is_empty()
     }
 
-    /// Entries read, written or removed since the table was made: what recording costs.
+    /// Number of entries read, written or removed since the table was created: the cost of recording.
     pub fn touched(&self) -> u64 {
         self.touched
     }
--- a/src/purges/tests.rs
+++ b/src/purges/tests.rs
@@ -2,7 +2,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// The moment so many microseconds after the first one.
+/// A point in time in microseconds.
 fn at(micros: u64) -> MonotonicTime {
     MonotonicTime::from_micros(micros)
 }
@@ -17,14 +17,18 @@
     for n in 0..=MAX_PURGES as u64 {
         purges.record(at(n), object(n), at(1000 + n), at(SECOND + n));
     }
-    assert_eq!(purges.latest(at(1), 0, 7), Some(at(1000)), "its own purge was the first to go");
+    assert_eq!(purges.latest(at(1), 0, 7), Some(at(1000)), "its own purge was evicted first, into the floor");
     assert_eq!(
         purges.latest(at(1), 999_999, 7),
         Some(at(1000)),
-        "and so is all of its age, but nothing younger"
+        "the floor applies to all objects, up to the time of the evicted purge only"
     );
     assert_eq!(purges.len(), MAX_PURGES);
-    assert_eq!(purges.latest(at(SECOND), 999_999, 7), None, "until there can be no copy of that age");
+    assert_eq!(
+        purges.latest(at(SECOND), 999_999, 7),
+        None,
+        "the floor expires when no copy of that age can exist"
+    );
 }
 
 #[test]
@@ -33,9 +37,9 @@
     purges.record(at(10), PurgeTarget::Group(3), at(500), at(110));
     purges.record(at(20), PurgeTarget::Group(3), at(400), at(120));
     assert_eq!((purges.latest(at(20), 1, 3), purges.latest(at(20), 1, 4)), (Some(at(500)), None));
-    assert_eq!(purges.latest(at(119), 1, 3), Some(at(500)), "the longer of both times holds");
+    assert_eq!(purges.latest(at(119), 1, 3), Some(at(500)), "the later of both expiries applies");
     purges.record(at(200), PurgeTarget::Group(9), at(1), at(201));
-    assert_eq!(purges.latest(at(200), 1, 3), None, "by then no store has one that old");
+    assert_eq!(purges.latest(at(200), 1, 3), None, "both purges have expired");
     assert_eq!(purges.len(), 1);
 }
 
@@ -49,7 +53,7 @@
     assert_eq!((purges.latest(at(119), 1, 0), purges.latest(at(120), 1, 0)), (Some(at(50)), None));
 }
 
-/// Entries touched by each of 1,000 purges, on the average, when so many are remembered in the steady state.
+/// Mean number of entries touched by one of 1,000 purges while a constant number of them is stored.
 fn touched_a_purge(remembered: u64) -> f64 {
     let mut purges = PurgeTable::default();
     let record = |purges: &mut PurgeTable, n: u64| purges.record(at(n), object(n), at(n), at(n + remembered));
@@ -63,7 +67,7 @@
 #[test]
 fn a_purge_touches_as_many_entries_however_many_are_remembered() {
     let touched = [1, 4, 16].map(|times| touched_a_purge(times * 2_500));
-    assert_eq!(touched, [2.0; 3], "itself, and the one that expires meanwhile");
+    assert_eq!(touched, [2.0; 3], "the recorded purge and the one that expires");
 }
 
 #[test]
@@ -81,7 +85,7 @@
         let newest = |target: &PurgeTarget| {
             let mut found: Option<(MonotonicTime, MonotonicTime)> = None;
             for (recorded, (of, issued, until)) in all.iter().enumerate() {
-                // An entry that expired before the next record came begins anew.
+                // A purge recorded after the former one has expired replaces it.
                 found = found.filter(|(_, known)| *known > at(recorded as u64));
                 if of == target {
                     found = Some(found.map_or((*issued, *until), |f| (f.0.max(*issued), f.1.max(*until))));
--- a/src/roles.rs
+++ b/src/roles.rs
@@ -1,16 +1,16 @@
-//! The two parts that a server can play in one request, and values that are stored for each of them.
+//! The roles of a server in a request, and values stored for each role.
 use std::ops::Index;
 
-/// The part of a server in a request.
+/// The role of a server in a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// The edge cache that is asked.
+    /// The edge cache that receives the request.
     Edge,
-    /// The server that a miss at the edge cache is filled from.
+    /// The server that fills a miss at the edge cache.
     Source,
 }
 
-/// A value for each role: what a cache shows differs much between the two.
+/// One value for each role, since observations of a cache differ much between the two.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[cfg_attr(
@@ -22,9 +22,9 @@
     )
 )]
 pub(crate) struct PerRole<T> {
-    /// The one of the edge cache.
+    /// The value for [`Role::Edge`].
     pub edge: T,
-    /// The one of the source.
+    /// The value for [`Role::Source`].
     pub source: T,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The order in which the two are sent to another process of the router.
+/// The serialized order: edge, then source.
 impl<T> From<PerRole<T>> for [T; 2] {
     fn from(values: PerRole<T>) -> [T; 2] {
         [values.edge, values.source]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,15 +1,15 @@
-//! Reads the settings, for the adapter and the gateway alike. Unknown keys are ignored; absent ones get the
-//! wire's defaults.
+//! Parses [`Settings`] from JSON, for the adapter and the gateway. Unknown keys are ignored; absent keys get
+//! the defaults of the wire format.
 use crate::interface::{Class, Effect, Group, Limits, Micros, Settings, Siblings};
 use miniserde::json::{self, Number, Value};
 use std::time::Duration;
 
-/// Why a text does not hold settings.
+/// Why settings could not be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettingsError {
-    /// It is not JSON.
+    /// The text is not JSON.
     NotJson,
-    /// It is JSON of another type than an object.
+    /// The JSON value is not an object.
     NotObject,
 }
 
@@ -24,7 +24,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A member of an object.
+/// The member of a JSON object with this key; none for other values.
 pub fn get<'a>(value: &'a Value, key: &str) -> Option<&'a Value> {
     match value {
         Value::Object(map) => map.get(key),
@@ -32,7 +32,7 @@
     }
 }
 
-/// A number.
+/// The value of a JSON number.
 pub fn as_f64(value: &Value) -> Option<f64> {
     match value {
         Value::Number(Number::U64(n)) => Some(*n as f64),
@@ -42,12 +42,12 @@
     }
 }
 
-/// An integer from 0.
+/// The value of a JSON number that is a non-negative integer.
 pub fn as_u64(value: &Value) -> Option<u64> {
     as_f64(value).filter(|n| *n >= 0.0 && n.fract() == 0.0).map(|n| n as u64)
 }
 
-/// A truth value.
+/// The value of a JSON boolean.
 pub fn as_bool(value: &Value) -> Option<bool> {
     match value {
         Value::Bool(b) => Some(*b),
@@ -92,12 +92,12 @@
     get(value, key).and_then(as_u64).map(|n| n as usize)
 }
 
-/// Milliseconds as integer microseconds; nothing below 0.
+/// Converts milliseconds to whole microseconds, rounded; negative numbers give 0.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
-/// Milliseconds as a span of whole microseconds; nothing below zero.
+/// Converts milliseconds to a duration of whole microseconds, rounded; negative numbers give zero.
 pub fn span_of_millis(ms: f64) -> Duration {
     Duration::from_micros(micros(ms))
 }
@@ -131,7 +131,7 @@
     }
 }
 
-/// The longest retry-after that clients are given; zero where they are given none.
+/// The longest Retry-After sent to clients; zero if none is sent.
 fn advice(limits: &Value) -> Duration {
     let retry_after_allowed = flag(limits, "retryAfter", false);
     if retry_after_allowed {
@@ -141,18 +141,18 @@
     }
 }
 
-/// Attempts for one request at most.
+/// Maximum number of attempts for one request.
 fn attempts(limits: &Value) -> u64 {
     number(limits, "maxAttempts", 1.0).max(1.0) as u64
 }
 
-/// Reads the settings from their JSON text.
+/// Parses settings from JSON text.
 pub fn read(text: &str) -> Result<Settings, SettingsError> {
     let all: Value = json::from_str(text).map_err(|_| SettingsError::NotJson)?;
     read_value(&all)
 }
 
-/// Reads the settings from JSON already taken apart.
+/// Reads settings from a parsed JSON value.
 pub fn read_value(all: &Value) -> Result<Settings, SettingsError> {
     if !matches!(all, Value::Object(_)) {
         return Err(SettingsError::NotObject);
--- a/tests/cache_subset.rs
+++ b/tests/cache_subset.rs
@@ -1,4 +1,4 @@
-//! Which caches of a large location a router asks, seen from outside. The invariants are those of
+//! Tests through the public interface which caches of a large location a router uses. The invariants are those of
 //! `docs/design/large-fleet.md`.
 use larchway::*;
 use std::collections::BTreeSet;
@@ -7,13 +7,13 @@
 const MS: Duration = Duration::from_millis(1);
 const ORIGIN: ServerId = 9_000;
 const PARENTS: std::ops::Range<ServerId> = 8_000..8_040;
-/// Caches of a router's subset at most.
+/// Maximum number of caches in a router's subset.
 const BOUND: usize = 32;
-/// Caches of a location that is sixteen times as large.
+/// Number of caches of a location that is sixteen times as large.
 const LARGE: u64 = 16 * BOUND as u64;
 const OBJECTS: u64 = 2_000;
 
-/// A location where nothing but the caches is asked: no sibling, no second attempt beside the first.
+/// Settings without siblings, hedged requests and direct requests to parents.
 fn settings() -> Settings {
     let page = Class { latency_objective: 250 * MS, objective_stretch: 2.0, ..Class::default() };
     Settings {
@@ -43,7 +43,7 @@
     (0..caches).map(cache).chain(parents).chain([origin]).collect()
 }
 
-/// A router, its requests and their answers.
+/// A router with a clock; numbers its requests and answers them.
 struct Rig {
     router: Router,
     now: MonotonicTime,
@@ -64,7 +64,7 @@
         actions
     }
 
-    /// A request; where it goes first.
+    /// Sends a request; returns its first attempt.
     fn ask(&mut self, object: ObjectId) -> Option<Get> {
         self.now += 20 * MS;
         self.next += 1;
@@ -73,7 +73,7 @@
         sent(&self.tell(Event::Request(request)))
     }
 
-    /// The end of an attempt of the last request; where it goes next.
+    /// Ends an attempt of the last request; returns the next attempt.
     fn end(&mut self, attempt: u64, status: Status, note: Note) -> Option<Get> {
         let request = if status == Status::Ok { RequestState::Closed } else { RequestState::Open };
         let (id, latency, load) = (self.next, 15 * MS, Vec::new());
@@ -81,19 +81,19 @@
         sent(&self.tell(Event::Outcome(end)))
     }
 
-    /// A request that is served at once.
+    /// Sends a request and answers its first attempt.
     fn serve(&mut self, object: ObjectId) -> Get {
         let get = self.ask(object).expect("sent");
         self.end(0, Status::Ok, Note::Filled);
         get
     }
 
-    /// The caches that requests for all objects go to.
+    /// The caches that receive requests for all objects.
     fn asked(&mut self) -> BTreeSet<ServerId> {
         (0..OBJECTS).map(|object| self.serve(object).server).collect()
     }
 
-    /// A request that fails at once at these caches and is served by all others; returns the caches asked.
+    /// Sends a request that fails at the caches `out` and succeeds at all others; returns the caches that received it.
     fn serve_without(&mut self, out: &BTreeSet<ServerId>, object: ObjectId) -> Vec<ServerId> {
         let mut asked = Vec::new();
         let mut next = self.ask(object);
@@ -115,11 +115,12 @@
     actions.iter().find_map(|action| if let Action::Get(get) = action { Some(get.clone()) } else { None })
 }
 
-/// Invariants 9 and 10: a router's objects hashed over all caches of its location, each of which took a connection.
+/// Invariants 9 and 10: without a subset, a router's requests would go to all caches of its location, with a connection
+/// to each.
 #[test]
 fn a_router_asks_no_more_caches_of_a_large_location_than_of_one_at_the_bound() {
     let at_bound = Rig::new(settings(), 1, hosts(BOUND as u64)).asked();
-    assert_eq!(at_bound.len(), BOUND, "all caches of a location at the bound are asked");
+    assert_eq!(at_bound.len(), BOUND, "all caches of a location at the bound are used");
     let mut all = BTreeSet::new();
     for seed in 0..60 {
         let asked = Rig::new(settings(), seed, hosts(LARGE)).asked();
@@ -127,35 +128,36 @@
         assert_ne!(asked, at_bound, "seed {seed}");
         all.extend(asked);
     }
-    // Sixty routers draw each cache 3.75 times: but for one in forty, each is somebody's.
-    assert!(all.len() > LARGE as usize * 9 / 10, "{} of {LARGE} caches are asked by someone", all.len());
+    // Each cache is in 3.75 of the sixty subsets on average, so only about one in forty is in none.
+    assert!(all.len() > LARGE as usize * 9 / 10, "{} of {LARGE} caches are used by some router", all.len());
 }
 
-/// Invariant 12: with a seed that is new with each start, the objects of a restarted fleet would all move.
+/// Invariant 12: if the subset depended on a seed that changes at each start, all objects of a restarted fleet would
+/// move.
 #[test]
 fn a_subset_is_that_of_the_routers_number_and_outlives_a_restart() {
     let numbered = |index| Settings { router_index: Some(index), ..settings() };
     let subset = Rig::new(numbered(5), 1, hosts(LARGE)).asked();
     assert_eq!(Rig::new(numbered(5), 2, hosts(LARGE)).asked(), subset);
     assert_ne!(Rig::new(numbered(6), 1, hosts(LARGE)).asked(), subset);
-    // A router without a number goes by its seed, which the next process of an upgrade takes over.
+    // A router without an index uses its seed, which the next process takes over in an upgrade.
     let mut before = Rig::new(settings(), 1, hosts(LARGE));
     let asked = before.asked();
     let mut next = Rig::new(settings(), 2, hosts(LARGE));
     next.now = before.now;
     next.router.take_over(before.router.learned(before.now, 0), &[Some(0)]);
     assert_eq!(next.asked(), asked);
-    // New settings may number it anew.
+    // New settings may state an index.
     next.router.configure(numbered(5), &[]);
     assert_eq!(next.asked(), subset);
 }
 
-/// Invariant 11: caches outside of the subset are asked while all of it is out, and no longer.
+/// Invariant 11: caches outside the subset are used only while all of its members fail.
 #[test]
 fn other_caches_are_asked_only_while_all_of_the_subset_is_out() {
     let mut rig = Rig::new(settings(), 1, hosts(LARGE));
     let subset = rig.asked();
-    // All of it but one: that one is asked.
+    // All members but one fail: that one is used.
     let last = *subset.first().expect("a member");
     let out: BTreeSet<ServerId> = subset.iter().copied().filter(|id| *id != last).collect();
     for object in 0..OBJECTS {
@@ -168,12 +170,12 @@
         outside += usize::from(asked.last().is_some_and(|id| !subset.contains(id)));
     }
     assert!(outside > OBJECTS as usize * 9 / 10, "{outside} of {OBJECTS} served outside of the subset");
-    // Trials find it well again, and after them nothing goes elsewhere.
+    // After successful trials at the members, all requests go to the subset again.
     rig.asked();
     assert_eq!(rig.asked(), subset);
 }
 
-/// Invariants 11 and 12: a member that drains gives its place to one other cache, and has it back.
+/// Invariants 11 and 12: a draining member is replaced by one other cache until it is up again.
 #[test]
 fn a_drained_cache_gives_its_place_to_one_other() {
     let mut rig = Rig::new(settings(), 1, hosts(LARGE));
@@ -191,7 +193,7 @@
     assert_eq!(rig.asked(), subset);
 }
 
-/// Invariant 11: members that have just started take their share of slow start's budget, others the rest.
+/// Invariant 11: members that have just started get work up to their slow start budgets, other caches get the rest.
 #[test]
 fn what_a_cold_subset_may_not_be_sent_goes_to_other_caches() {
     let subset = Rig::new(settings(), 1, hosts(LARGE)).asked();
@@ -201,7 +203,7 @@
         Host { started, ..host }
     };
     let mut rig = Rig::new(settings(), 1, hosts(LARGE).into_iter().map(cold).collect());
-    // So much at once that the budgets are used up.
+    // Sends so much at once that the budgets are used up.
     let asked: Vec<ServerId> = (0..400)
         .map(|object| {
             rig.now = rig.now - 19 * MS;
@@ -210,31 +212,32 @@
         .collect();
     let outside = asked.iter().filter(|id| !subset.contains(id)).count();
     assert!(outside > 0, "all of {} went to cold caches", asked.len());
-    // One of twenty routers at caches of 8 transfers that warm up: its share of a span's work is less than one.
+    // One of twenty routers, at cold caches of 8 transfers: its share of a span's work is less than one request.
     for id in &subset {
         let count = asked.iter().filter(|asked| *asked == id).count();
         assert!(count <= 8, "cold cache {id} was sent {count} of {}", asked.len());
     }
 }
 
-/// Invariant 11: where the subset is too small for the work, the other caches take part of it.
+/// Invariant 11: if the subset is saturated, other caches get part of the work.
 #[test]
 fn a_subset_that_has_too_much_to_do_leaves_work_to_other_caches() {
     let alone = Settings { routers: 2, zone_routers: vec![0, 1, 1], ..settings() };
     let mut rig = Rig::new(alone, 1, hosts(LARGE));
     let different = |asked: &[ServerId]| asked.iter().collect::<BTreeSet<_>>().len();
     let mut asked = Vec::new();
-    // None is answered: four times what the subset carries.
+    // Unanswered requests, four times as many as the subset carries.
     for object in 0..4 * 8 * BOUND as u64 {
         rig.now = rig.now - 20 * MS;
         asked.extend(rig.ask(object).map(|get| get.server));
     }
-    // The first half of what it carries stays in the subset.
-    assert!(different(&asked[..4 * BOUND]) <= BOUND, "{} caches asked", different(&asked[..4 * BOUND]));
-    assert!(different(&asked) > 2 * BOUND, "{} caches asked", different(&asked));
+    // Up to half of the subset's capacity, all requests stay in the subset.
+    assert!(different(&asked[..4 * BOUND]) <= BOUND, "{} caches used", different(&asked[..4 * BOUND]));
+    assert!(different(&asked) > 2 * BOUND, "{} caches used", different(&asked));
 }
 
-/// Invariant 13: a fill's source takes no connection of the router, so any cache of the location may be one.
+/// Invariant 13: the router needs no connection to the source of a fill, so any cache of the location may be the
+/// source.
 #[test]
 fn siblings_outside_of_the_subset_are_named_as_sources() {
     const ROUTERS: u64 = 60;
@@ -250,7 +253,7 @@
     assert!(outside > ROUTERS / 2, "{outside} of {ROUTERS} siblings are outside of the subset");
 }
 
-/// Invariant 13: an object's fills meet at one parent, whatever the subset of the router that asks.
+/// Invariant 13: all fills of an object go to one parent, whatever the subset of the router.
 #[test]
 fn homes_at_parents_are_the_same_for_routers_of_different_subsets() {
     let mut few = Rig::new(settings(), 1, hosts(4));
--- a/tests/imports.rs
+++ b/tests/imports.rs
@@ -1,15 +1,16 @@
-//! No circles of imports: in each package of the workspace, modules that stand side by side do not use each other in a
-//! circle. A folder counts as its module, at each depth; what a module and its own submodules use of each other is
-//! theirs. The `use` lines and all other paths that begin with `crate`, `self` or `super` are read, not compiled.
+//! Checks that there are no import cycles: in each package of the workspace, sibling modules must not use each other in
+//! a cycle. A folder counts as one module, at each depth; a module and its own submodules may use each other. The check
+//! reads the text of `use` lines and of all other paths that begin with `crate`, `self` or `super`.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// A module by its names from the package's root on; the root itself has none.
+/// The path of a module from the package's root; empty for the root itself.
 type Module = Vec<String>;
 
-/// By module, those beside it (or beside a module that holds it) which it uses.
+/// For each module, the siblings that it or one of its submodules uses.
 type Uses = BTreeMap<Module, BTreeSet<Module>>;
 
+/// The `src` folders of all packages of the workspace.
 fn source_folders() -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut folders = vec![root.join("src")];
@@ -23,7 +24,7 @@
     folders
 }
 
-/// Every module under a folder and its text without comments.
+/// Collects the modules below a folder with their texts without comments.
 fn modules(folder: &Path, name: &Module, found: &mut BTreeMap<Module, String>) {
     for entry in std::fs::read_dir(folder).expect("a source folder").flatten() {
         let path = entry.path();
@@ -43,7 +44,7 @@
     }
 }
 
-/// The paths in a text that begin with `crate`, `self` or `super`: those in braces one by one.
+/// The paths in a text that begin with `crate`, `self` or `super`; paths with braces are expanded.
 fn paths(text: &str) -> Vec<Vec<String>> {
     let is_name = |c: char| c.is_alphanumeric() || c == '_';
     let mut found = Vec::new();
@@ -68,7 +69,7 @@
     found
 }
 
-/// The module that a path in this one leads to.
+/// The module that a path in `module` refers to.
 fn target(module: &Module, path: &[String], all: &BTreeMap<Module, String>) -> Module {
     let mut full = module.clone();
     for name in path {
@@ -85,6 +86,7 @@
     full
 }
 
+/// Determines which sibling modules use each other.
 fn uses(all: &BTreeMap<Module, String>) -> Uses {
     let mut uses = Uses::new();
     for (module, text) in all {
@@ -100,7 +102,7 @@
     uses
 }
 
-/// What can be reached from a module.
+/// The modules that a module uses directly or indirectly.
 fn reached(uses: &Uses, from: &Module) -> BTreeSet<Module> {
     let mut reached = BTreeSet::new();
     let mut open = vec![from.clone()];
@@ -111,7 +113,7 @@
     reached
 }
 
-/// The circles among modules: each as the names of those in it.
+/// The cycles among modules, each as the names of its modules.
 fn circles(uses: &Uses) -> BTreeSet<BTreeSet<String>> {
     let all: BTreeMap<&Module, BTreeSet<Module>> = uses.keys().map(|m| (m, reached(uses, m))).collect();
     let mut circles = BTreeSet::new();
@@ -135,7 +137,7 @@
         found.extend(circles(&uses(&all)).into_iter().map(|circle| (name.clone(), circle)));
     }
     assert!(counted > 100, "{counted} modules read");
-    assert!(found.is_empty(), "circles of imports: {found:?}");
+    assert!(found.is_empty(), "import cycles: {found:?}");
 }
 
 #[test]
