--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,10 +1,10 @@
-//! Small tests of the module alone. Each is named for the failure that it pins.
+//! Small tests of the decision module alone, each named after the behaviour that it guards.
 use larchway::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
-/// When a history begins.
+/// Start time of each test.
 const START: MonotonicTime = MonotonicTime::from_micros(100_000_000);
 const ORIGIN: ServerId = 90;
 
@@ -40,7 +40,7 @@
     hosts
 }
 
-/// The end of an attempt of which its store reported nothing more.
+/// The outcome of an attempt without a load report or a time to the first byte.
 fn ended(
     id: RequestId,
     attempt: u64,
@@ -51,7 +51,7 @@
     Outcome { id, attempt, status, latency, request, note, waited: Duration::ZERO, load: Vec::new() }
 }
 
-/// The state of a request whose attempt ended so: it is closed by an answer.
+/// The state of a request after an attempt with this status: an answer closes it.
 fn closed_if_ok(status: Status) -> RequestState {
     if status == Status::Ok {
         RequestState::Closed
@@ -60,6 +60,7 @@
     }
 }
 
+/// A router with a clock that the test advances.
 struct Rig {
     router: Router,
     now: MonotonicTime,
@@ -118,13 +119,13 @@
 
 #[test]
 fn miss_chances_follow_bayes() {
-    // q = h (1 - FN) + (1 - h) FP with h = 0.5, FP = 0.1, FN = 0.2 gives q = 0.45.
+    // q = h (1 - FN) + (1 - h) FP; h = 0.5, FP = 0.1 and FN = 0.2 give q = 0.45.
     let known = rates([0.1, 0.2, 0.45]);
     assert!((miss_chance(known, Indication::Positive) - 0.1 * 0.5 / 0.45).abs() < 1e-9);
     assert!((miss_chance(known, Indication::Negative) - 0.9 * 0.5 / 0.55).abs() < 1e-9);
     // h = (0.05 - 0.1) / 0.7 < 0 is clamped to 0, so a record proves nothing: 0.1 * 1 / 0.05 clamps to 1.
     assert_eq!(miss_chance(rates([0.1, 0.2, 0.05]), Indication::Positive), 1.0);
-    // A negative record leaves a chance: h = (0.3 - 0.02) / 0.08 clamps to 1, so the object is surely there.
+    // h = (0.3 - 0.02) / 0.08 is clamped to 1, so the cache surely has the object despite the negative record.
     assert_eq!(miss_chance(rates([0.02, 0.9, 0.3]), Indication::Negative), 0.0);
 }
 
@@ -138,8 +139,8 @@
 
 #[test]
 fn a_sibling_is_named_despite_a_negative_record_where_it_pays() {
-    // Unheard: FP 0.2, FN 0.4, q 0.4, so h = 0.5 and a negative record leaves 0.8 * 0.5 / 0.6 = 2/3.
-    // Edge alone: 15 + 150 * 2/3 = 115 ms. With a sibling: 15 + 15 + 150 * 4/9 = 97 ms.
+    // Unobserved caches have FP 0.2, FN 0.4 and q 0.4, so h = 0.5; the miss probability after a negative record is
+    // 0.8 * 0.5 / 0.6 = 2/3. Edge cache alone: 15 + 150 * 2/3 = 115 ms. With a sibling: 15 + 15 + 150 * 4/9 = 97 ms.
     let mut rig = Rig::new(settings(), fleet());
     let sent = get(&rig.ask(42)).expect("sent");
     assert!([1, 2].contains(&sent.server));
@@ -197,7 +198,7 @@
         let sent = rig.serve(object, Note::Filled);
         assert!(![1, 50].contains(&sent.server) && ![1, 50].contains(&sent.source), "{sent:?}");
     }
-    // A whole list without cache 2 leaves none here.
+    // A full list without cache 2 leaves no cache in this location.
     rig.list(Scope::Full, vec![host(3, 2, 0), host(51, 0, 1), host(ORIGIN, 0, 2)]);
     assert!(refused(&rig.ask(1)));
 }
@@ -225,7 +226,7 @@
             work += 50.0;
         }
     }
-    // 3 x (0.2 + 0.8 x 8%) x 4 transfers x 2 s is the most that a span may hold.
+    // The bound for a span of 2 s: 3 x (0.2 + 0.8 x 8%) x 4 transfers x 2 s.
     assert!(work > 0.0 && work < 3.0 * 0.264 * 4.0 * 2000.0, "{work}");
 }
 
@@ -253,7 +254,7 @@
     rig.wait(9000);
     rig.serve(object, Note::Filled);
     let cold = (0..400).filter(|&o| rig.serve(1000 + o, Note::Filled).server == 1).count();
-    assert!(cold < 60, "{cold} at once to a cache that has just come back");
+    assert!(cold < 60, "{cold} requests at once to a cache that has just restarted");
 }
 
 #[test]
@@ -264,7 +265,7 @@
         rig.wait(1000);
         let sent = get(&rig.ask(42)).expect("sent");
         assert!(sent.max_age.is_some_and(|age| !age.is_zero() && age < 1300 * MS), "{sent:?}");
-        let again = get(&rig.answer(0, Status::Error, Note::None)).expect("tries again");
+        let again = get(&rig.answer(0, Status::Error, Note::None)).expect("retried");
         assert!(again.max_age.is_some_and(|age| age < 1300 * MS));
     }
     let mut rig = Rig::new(settings(), fleet());
@@ -281,7 +282,7 @@
     assert!(bound < purge_done && bound > purge_done / 2, "{bound:?}");
     rig.tell(Event::Purged { age: 300 * MS, group: 7, object: Some(43) });
     let purged = get(&rig.ask(43)).expect("sent").max_age.expect("a bound");
-    assert!(purged <= 300 * MS, "the younger bound holds: {purged:?}");
+    assert!(purged <= 300 * MS, "the lower of both bounds applies: {purged:?}");
     rig.now += purge_done;
     assert_eq!(get(&rig.ask(44)).expect("sent").max_age, None);
 }
@@ -338,7 +339,8 @@
     Rig::new(set, fleet())
 }
 
-/// On a quiet day the largest of a class are answered as the others are, also where the aim does not grow with the size.
+/// Without load, the largest objects of a class are answered like all others, even if the latency objective does not
+/// grow with the size.
 #[test]
 fn no_request_is_declined_for_its_size_alone() {
     for (objective_stretch, told) in [(0.0, true), (0.0, false), (1.0, true), (2.0, true)] {
@@ -346,13 +348,14 @@
         let mut rig = Rig::new(Settings { classes: vec![page], ..settings() }, fleet());
         for id in 0..60 {
             rig.wait(3000);
-            // Sending times of 50 to 1,820 ms; where they are not told, they are found out by the first request.
+            // Sending times of 50 to 1,820 ms. If sizes are not stated, the first request for each object shows its
+            // time.
             let (ttl, time) = (3000 * MS, 50.0 + 30.0 * (id / 2) as f64);
             let size_kb = if told { time } else { 0.0 };
             let req = Request { id, object: id / 2, ttl, size_kb, ..Request::default() };
             assert!(
                 get(&rig.tell(Event::Request(req))).is_some(),
-                "{time} ms, aim + {objective_stretch} times"
+                "{time} ms, objective stretch {objective_stretch}"
             );
             let took = Duration::from_micros((time * 1000.0) as u64);
             rig.tell(Event::Outcome(ended(id, 0, (Status::Ok, Note::Hit), took, RequestState::Closed)));
@@ -387,7 +390,8 @@
     assert!(get(&actions).is_none() && !refused(&actions) && finals(&actions) == 1);
 }
 
-/// A write ran again in another cell where its first cache was listed no more, or elsewhere, at its answer.
+/// A write must not be executed again in another cell, which happened if its first cache had left the list or moved to
+/// another location before the answer.
 #[test]
 fn a_keyed_request_stays_in_its_group_when_its_first_cache_leaves_the_list() {
     for (state, zone) in [(State::Removed, 1), (State::Up, 2)] {
@@ -400,7 +404,8 @@
     }
 }
 
-/// A list of the own site leaves out what a store does elsewhere: both must lead to the same choices.
+/// A list of only the own site does not show what a store does at other sites, and must lead to the same choices as the
+/// full list.
 #[test]
 fn a_cache_that_moves_to_another_site_and_back_is_a_new_one() {
     let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
@@ -421,7 +426,7 @@
     assert_eq!(rig.serve(object, Note::Filled).server, 1);
 }
 
-/// What was not reachable becomes so by new settings, without another list.
+/// New settings can make listed caches reachable without a new list.
 #[test]
 fn a_router_that_moves_to_another_site_knows_the_caches_there() {
     let mut rig = Rig::new(settings(), fleet());
@@ -431,7 +436,7 @@
     assert_eq!(rig.router.servers(), 6);
 }
 
-/// Records of hits at a cache that has left would name it as soon as it is listed again, when it holds nothing.
+/// A hit record of a cache that has left the list would direct requests to it when it returns with an empty cache.
 #[test]
 fn an_answer_of_a_cache_that_has_left_leaves_no_record() {
     let mut rig = Rig::new(Settings { siblings: Siblings::None, cancel: false, ..settings() }, fleet());
@@ -439,7 +444,7 @@
     rig.list(Scope::Changes, vec![Host { state: State::Removed, ..host(first, 1, 0) }]);
     rig.answer(0, Status::Ok, Note::Hit);
     rig.list(Scope::Changes, vec![host(first, 1, 0)]);
-    // A record of a hit would leave the fill out of the expected time: the attempt may wait for less.
+    // With a hit record the expected time would not include the fill, so the attempt would time out earlier.
     let waits = |rig: &mut Rig, object| get(&rig.ask(object)).expect("sent").stop_at;
     let fresh = (2..).find(|&o| rig.serve(o, Note::Filled).server == first).expect("some");
     let (fresh, again) = (waits(&mut rig, fresh), waits(&mut rig, 1));
@@ -457,7 +462,10 @@
             rig.wait(20);
             let actions = rig.tell(Event::Timer(0));
             if actions.contains(&Action::Cancel { id: 1, attempt: 0 }) {
-                assert!(!duplicates && get(&actions).is_none(), "no second copy while the first is out");
+                assert!(
+                    !duplicates && get(&actions).is_none(),
+                    "no hedged request while the first attempt is in flight"
+                );
                 next = get(&rig.answer(0, Status::Cancelled, Note::None));
             } else if let Some(copy) = get(&actions) {
                 assert!(duplicates);
@@ -467,7 +475,7 @@
                 break;
             }
         }
-        assert_ne!(next.expect("tried elsewhere").server, first.server);
+        assert_ne!(next.expect("sent to another cache").server, first.server);
     }
 }
 
@@ -510,9 +518,9 @@
             let (status, latency) = (Status::Miss, MS);
             let end =
                 rig.tell(Event::Outcome(ended(id, attempt, (status, note), latency, RequestState::Open)));
-            assert!(refused(&end), "nothing is filled after the look");
+            assert!(refused(&end), "no fill after a request without one");
         } else if id > 20 {
-            // Fills take 2.4 s for what alone takes 0.3 s.
+            // Fills take 2.4 s instead of 0.3 s.
             let (id, status, latency) = (id - 20, Status::Ok, 2400 * MS);
             rig.tell(Event::Outcome(ended(
                 id,
@@ -535,7 +543,7 @@
     for id in 100..400 {
         rig.wait(10);
         declined += usize::from(refused(&ask(rig, id)));
-        // The link takes a second and a half for what alone takes 0.3 s.
+        // Fills over the link take 1.5 s instead of 0.3 s.
         if id >= 250 {
             let (attempt, status, note) = (0, Status::Ok, Note::Filled);
             let latency = 1500 * MS;
@@ -557,7 +565,7 @@
         rig.answer(1, Status::Ok, Note::Filled);
     }
     let asked: Vec<_> = (100..140).map(|o| rig.serve(o, Note::Filled).server).collect();
-    assert!(asked.contains(&1) && asked.contains(&2), "both caches stay in use");
+    assert!(asked.contains(&1) && asked.contains(&2), "both caches are still used");
 }
 
 #[test]
@@ -580,7 +588,7 @@
         rig.wait(5);
         let sent = get(&rig.ask(object)).expect("sent");
         if sent.cached_only {
-            assert!(object > 2, "fetches nothing while fills are withheld");
+            assert!(object > 2, "fills are withheld only after some failures");
             assert!(refused(&rig.answer(0, Status::Miss, Note::SourceLacks)));
             continue;
         }
@@ -588,7 +596,7 @@
         let end = rig.answer(0, Status::Full, Note::OriginFailed);
         assert_eq!(end, [Action::Refuse { id: rig.next, retry_after: 500 * MS }]);
     }
-    assert_eq!(asked.into_iter().collect::<Vec<_>>(), [50, 51], "neither parent is avoided");
+    assert_eq!(asked.into_iter().collect::<Vec<_>>(), [50, 51], "neither parent is ejected");
 }
 
 #[test]
@@ -600,7 +608,7 @@
     assert!(refused(&Rig::new(settings(), gone).ask(1)));
 }
 
-/// Routers of one deployment, each deciding alone.
+/// Independent routers of one deployment.
 fn many(count: usize, settings: &Settings, hosts: &[Host]) -> Vec<Rig> {
     let rig = |n: usize| {
         let mut rig = Rig::new(settings.clone(), hosts.to_vec());
@@ -612,7 +620,7 @@
     (0..count).map(rig).collect()
 }
 
-/// The most work (ms of sending) within a span of 2 s, from what was sent when (ms).
+/// The most work (ms of sending time) sent within a span of 2 s; `sent` has the time (ms) and work of each request.
 fn most_in_a_span(sent: &[(u64, f64)]) -> f64 {
     let from = |t: u64| sent.iter().filter(|&&(at, _)| at >= t && at < t + 2000).map(|&(_, w)| w).sum();
     sent.iter().map(|&(t, _)| from(t)).fold(0.0, f64::max)
@@ -635,7 +643,7 @@
             }
         }
     }
-    // 3 x (0.2 + 0.8 x 40% at the end) x 4 transfers x 2 s at most; and it is not left to starve.
+    // The bound at the end: 3 x (0.2 + 0.8 x 40%) x 4 transfers x 2 s; and the cache does get some work.
     let most = most_in_a_span(&sent);
     assert!(most > 100.0 && most < 3.0 * 0.36 * 4.0 * 2000.0, "{most} ms in a span");
 }
@@ -662,7 +670,7 @@
     sent.clear();
     (40..50).for_each(|step| round(&mut rigs, step, &mut sent));
     let most = most_in_a_span(&sent);
-    // Twice the share that it can give after 5 s (0.06 + 0.94 x 5 / 22) of what it had in 2 s.
+    // The bound: twice its share of capacity after 5 s (0.06 + 0.94 x 5 / 22) of its usual work in 2 s.
     assert!(most > 0.0 && most < 2.0 * 0.27 * usual, "{most} of {usual} ms in a span");
 }
 
@@ -671,7 +679,7 @@
     let set = Settings { siblings: Siblings::None, zone_routers: vec![0, 9, 1], ..settings() };
     let mut rig = Rig::new(set, fleet());
     for id in 0..20 {
-        // In time alone and with one more; nine routers with as many each would be a jam.
+        // Two transfers would be in time; nine routers with one each would be congestion.
         rig.wait(2000);
         let (ttl, size_kb) = (3000 * MS, 300.0);
         let req = Request { id, object: id, ttl, size_kb, ..Request::default() };
@@ -690,7 +698,7 @@
         let sent = get(&rig.ask(object)).expect("sent");
         asked += usize::from(sent.server == 1);
         if object % 5 == 0 {
-            let next = get(&rig.answer(0, Status::Reset, Note::None)).expect("tries again");
+            let next = get(&rig.answer(0, Status::Reset, Note::None)).expect("retried");
             again += usize::from(next.server == sent.server);
             rig.answer(1, Status::Ok, Note::Hit);
         } else {
@@ -698,7 +706,7 @@
         }
     }
     assert!(asked > 60, "{asked} of 200 to cache 1");
-    assert!(again > 20, "{again} of 40 went to the cache that holds it by then");
+    assert!(again > 20, "{again} of 40 retries went to the same cache, which has the object by then");
 }
 
 #[test]
@@ -710,9 +718,9 @@
     rig.answer(0, Status::ConnectFailed, Note::None);
     rig.answer(1, Status::Ok, Note::Filled);
     rig.wait(9000);
-    assert_eq!(rig.serve(object, Note::Filled).server, 1, "the trial");
+    assert_eq!(rig.serve(object, Note::Filled).server, 1, "the trial request");
     let cold = (0..400).filter(|&o| rig.serve(1000 + o, Note::Filled).server == 1).count();
-    assert!(cold < 60, "{cold} at once to a cache that has just come back");
+    assert!(cold < 60, "{cold} requests at once to a cache that has just restarted");
 }
 
 #[test]
@@ -734,7 +742,7 @@
             }
         }
         assert!(attempts < 240, "{attempts} attempts for 200 requests");
-        assert!(looks > 100, "{looks} looks");
+        assert!(looks > 100, "{looks} attempts without a fill");
         let filled = (1000..1200).filter(|&object| {
             rig.wait(50);
             let sent = get(&rig.ask(object)).expect("sent");
@@ -743,7 +751,7 @@
             rig.answer(0, status, note);
             fill
         });
-        assert!(filled.count() > 100, "fills come back");
+        assert!(filled.count() > 100, "fills are resumed");
     }
 }
 
@@ -755,14 +763,17 @@
         rig.wait(50);
         let sent = get(&rig.ask(object)).expect("sent");
         peeks += usize::from(sent.cached_only);
-        assert!(!sent.cached_only || [50, 51].contains(&sent.source), "the origin holds all: {sent:?}");
-        // The origin brings everything, long after it was wanted; parents bring what they hold at once.
+        assert!(
+            !sent.cached_only || [50, 51].contains(&sent.source),
+            "only parents are asked for cached copies: {sent:?}"
+        );
+        // Fills by the origin arrive late; parents serve cached copies in time.
         let late = if sent.cached_only { 60 * MS } else { 2000 * MS };
         let (id, status, note) = (rig.next, Status::Ok, Note::Filled);
         let end = ended(id, 0, (status, note), late, RequestState::Closed);
         rig.tell(Event::Outcome(end));
     }
-    assert!(peeks > 60, "{peeks} of 100 spare the origin");
+    assert!(peeks > 60, "{peeks} of 100 requests do not reach the origin");
 }
 
 #[test]
@@ -775,17 +786,17 @@
     };
     for object in 0..40 {
         rig.wait(100);
-        // A class is taken to need 100 ms; its smaller objects come in less.
+        // The class is assumed to take 100 ms; smaller objects take less.
         let sent = get(&ask(&mut rig, object, 60 * MS));
-        assert!(sent.is_some(), "object {object} is not tried");
+        assert!(sent.is_some(), "object {object} is not requested");
         let (id, status, note) = (rig.next, Status::Timeout, Note::None);
         rig.wait(60);
         rig.tell(Event::Outcome(ended(id, 0, (status, note), 60 * MS, RequestState::Open)));
     }
-    assert!(refused(&ask(&mut rig, 100, 10 * MS)), "none is that small");
+    assert!(refused(&ask(&mut rig, 100, 10 * MS)), "no object can be sent that fast");
     for object in 200..220 {
         let sent = get(&ask(&mut rig, object, 3000 * MS)).expect("sent");
-        assert!(!sent.cached_only && sent.source != sent.server, "the origin was never at fault");
+        assert!(!sent.cached_only && sent.source != sent.server, "the origin did not fail");
     }
 }
 
@@ -802,7 +813,7 @@
         let (status, note) = (Status::Ok, Note::Hit);
         rig.tell(Event::Outcome(ended(id, 0, (status, note), latency, RequestState::Closed)));
     }
-    assert!(late < 20, "{late} of 100 to a cache eight times slower than its like");
+    assert!(late < 20, "{late} of 100 requests to a cache that is eight times slower than the other");
 }
 
 #[test]
@@ -818,14 +829,14 @@
 #[test]
 fn odd_events_get_one_lawful_answer() {
     let zones = Settings { zone: 9, zone_routers: vec![0, 0], ..settings() };
-    assert_eq!(finals(&Rig::new(zones, fleet()).ask(1)), 1, "a zone beyond the list has no cache");
+    assert_eq!(finals(&Rig::new(zones, fleet()).ask(1)), 1, "a zone without routers and caches");
     let twice = [fleet(), fleet()].concat();
     let mut rig = Rig::new(Settings { origin_kind: None, parent_kind: None, ..settings() }, twice);
     let (id, ttl) = (500, 3000 * MS);
     let req = |class| Request { id, class, object: 3, ttl, size_kb: 50.0, ..Request::default() };
     assert_eq!(rig.tell(Event::Request(req(7))), [Action::Fail(id)], "an unknown class");
     assert!(get(&rig.tell(Event::Request(req(0)))).is_some());
-    assert_eq!(rig.tell(Event::Request(req(0))), [], "an id used twice is answered once");
+    assert_eq!(rig.tell(Event::Request(req(0))), [], "a repeated id is ignored");
     let (status, latency, note) = (Status::Ok, MS, Note::Hit);
     let unknown = ended(77, 3, (status, note), latency, RequestState::Closed);
     assert!(get(&rig.tell(Event::Outcome(unknown))).is_none());
@@ -848,7 +859,7 @@
     let mut rig = Rig::new(bare, vec![weightless(1, 0), weightless(ORIGIN, 2)]);
     let sent = rig.serve(1, Note::None);
     assert_eq!((sent.server, sent.source), (1, ORIGIN));
-    assert!(sent.stop_at.is_some(), "what cannot be withdrawn must end by itself");
+    assert!(sent.stop_at.is_some(), "an attempt that cannot be cancelled has a time-out");
     rig.ask(2);
     assert_eq!(finals(&rig.answer(0, Status::Error, Note::None)), 1);
 }
@@ -857,7 +868,7 @@
 fn an_attempt_that_was_never_sent_is_made_elsewhere_while_there_is_time() {
     let mut rig = Rig::new(settings(), fleet());
     let first = get(&rig.ask(1)).expect("sent");
-    // The store was withdrawn, or a purge told, while the attempt waited for its connection.
+    // The store was removed, or a purge arrived, while the attempt waited for its connection.
     rig.list(Scope::Changes, vec![Host { state: State::Draining, ..host(first.server, 1, 0) }]);
     let second = get(&rig.answer(0, Status::NeverSent, Note::None)).expect("sent again");
     assert_ne!(second.server, first.server);
@@ -867,7 +878,7 @@
 
 #[test]
 fn lost_answers_do_not_talk_the_link_down() {
-    // 40 transfers fit on the link; 30 are out, and single ones of them never end.
+    // The link carries 40 transfers; 30 are in flight, and a few of them never end.
     let told = Settings { link_kb_per_s: 40_000.0, weighted: true, siblings: Siblings::None, ..settings() };
     let wide = fleet().into_iter().map(|h| Host { weight: 400.0, ..h }).collect();
     let mut rig = Rig::new(told, wide);
@@ -878,10 +889,10 @@
         let (id, ttl, size_kb) = (rig.next, 2800 * MS, 300.0);
         let request = Request { id, object, ttl, size_kb, group: 7, ..Request::default() };
         let sent = get(&rig.tell(Event::Request(request))).expect("sent");
-        assert!(sent.source != sent.server, "object {object} is not filled: the link has room");
+        assert!(sent.source != sent.server, "object {object} is not filled although the link has capacity");
         out.push_back(id);
         if out.len() > 30 {
-            let id = out.pop_front().expect("one is out");
+            let id = out.pop_front().expect("one in flight");
             let lost = id % 16 == 0;
             let (status, note) =
                 if lost { (Status::Timeout, Note::None) } else { (Status::Ok, Note::Filled) };
@@ -899,25 +910,25 @@
     let ask = |rig: &mut Rig, object| {
         rig.next += 1;
         let request = Request { id: rig.next, object, ttl: 6000 * MS, group: 7, ..Request::default() };
-        // A look without a fill is what is left of a refused fill.
+        // An attempt without a fill shows that the fill was rejected.
         get(&rig.tell(Event::Request(request))).filter(|g| g.source != g.server).map(|_| rig.next)
     };
     let end = |rig: &mut Rig, id, note, latency| {
         let outcome = ended(id, 0, (Status::Ok, note), latency, RequestState::Closed);
         rig.tell(Event::Outcome(outcome));
     };
-    // The class is known to take 200 ms; the objects that follow are all new, and larger than that.
+    // The class is observed to take 200 ms; the objects that follow are all new and take longer.
     let first = ask(&mut rig, 1).expect("sent");
     end(&mut rig, first, Note::Hit, 200 * MS);
     for round in 0..5 {
         let ids: Vec<RequestId> = (0..40).filter_map(|n| ask(&mut rig, 1000 + round * 40 + n)).collect();
-        assert_eq!(ids.len(), 40, "round {round}: fills are refused");
+        assert_eq!(ids.len(), 40, "round {round}: fills are rejected");
         rig.wait(600);
         ids.into_iter().for_each(|id| end(&mut rig, id, Note::Filled, 600 * MS));
     }
 }
 
-/// The parent that each of these objects would be filled from, and whether it is only asked for what it holds.
+/// For each of these objects, the source of its first attempt and whether that may only serve from cache.
 fn sources(rig: &mut Rig, objects: std::ops::Range<u64>) -> Vec<(ServerId, bool)> {
     objects
         .map(|object| {
@@ -961,13 +972,17 @@
         }))
     };
     rig.tell(shape(&[(50, 1.0)], &[]));
-    assert!(sources(&mut rig, 0..50).iter().all(|s| *s == (50, false)), "one that is left out has no homes");
+    assert!(
+        sources(&mut rig, 0..50).iter().all(|s| *s == (50, false)),
+        "a parent without a weight has no objects"
+    );
     rig.tell(shape(&[(50, 1.0), (51, 0.25)], &[(50, 1.0)]));
-    // What stays is filled there; what moves is asked for at 50 first, which fetches nothing for it.
+    // Objects that move are first requested from the cache of their former home, 50.
     let moved = sources(&mut rig, 0..400).iter().filter(|s| **s == (50, true)).count();
-    assert!((40..130).contains(&moved), "a fifth moves: {moved} of 400");
-    // Where the home of before lacks it, the new one fills.
-    let object = (0..400u64).find(|n| sources(&mut rig, *n..*n + 1) == [(50, true)]).expect("one that moves");
+    assert!((40..130).contains(&moved), "about a fifth of the objects moves: {moved} of 400");
+    // If the former home does not have the object, the new one fills it.
+    let object =
+        (0..400u64).find(|n| sources(&mut rig, *n..*n + 1) == [(50, true)]).expect("an object that moves");
     rig.ask(1000 + object);
     let id = rig.next;
     let again =
@@ -976,7 +991,7 @@
         again.iter().any(|a| matches!(a, Action::Get(get) if get.source == 51 && !get.cached_only)),
         "{again:?}"
     );
-    // When half of the objects are asked for no more at the home of before, half of the moved ones are filled.
+    // With a previous share of one half, only half of the moved objects are still requested from the former home.
     let half = ParentWeights {
         weights: weights(&[(50, 1.0), (51, 0.25)]),
         previous: weights(&[(50, 1.0)]),
@@ -992,8 +1007,8 @@
 /// docs/design/large-fleet.md, invariant 1.
 #[test]
 fn a_refused_client_may_come_back_while_its_answer_still_counts() {
-    // No cache is left: refused at once. The aim of 250 ms counts from the first try; a client that is sent away
-    // for as long as that earns nothing with its next one, and takes as much room.
+    // Without a cache the request is rejected at once. The objective of 250 ms counts from the first try, so a retry
+    // after that time would use as much capacity without any value.
     let mut rig = Rig::new(settings(), vec![host(50, 0, 1), host(ORIGIN, 0, 2)]);
     let told = rig.ask(42).into_iter().find_map(|a| match a {
         Action::Refuse { retry_after, .. } => Some(retry_after),
@@ -1005,7 +1020,7 @@
 /// docs/design/large-fleet.md, invariant 2.
 #[test]
 fn siblings_that_hold_nothing_are_found_out_together_where_each_is_hardly_seen() {
-    // One of a hundred routers sees a request now and then at each of twenty caches: an epoch of q never ends.
+    // One of a hundred routers sees few requests at each of twenty caches, so no cache completes an epoch of q.
     let caches = (1..=20).map(|n| host(n, 1, 0));
     let hosts = caches.chain([host(50, 0, 1), host(51, 0, 1), host(ORIGIN, 0, 2)]).collect();
     let mut rig = Rig::new(settings(), hosts);
@@ -1026,12 +1041,13 @@
         }
         named.push(siblings);
     }
-    assert!(named[..20].iter().sum::<usize>() > 0, "an unheard sibling is tried");
-    // Within a few seconds of one router: in all it names some twenty before the end of a day of 24 s.
+    assert!(named[..20].iter().sum::<usize>() > 0, "unobserved siblings are tried");
+    // The router learns within a few seconds: it names some twenty siblings in all, and none after the first 25
+    // requests.
     assert_eq!(named[25..].iter().sum::<usize>(), 0, "{named:?}");
 }
 
-/// Asks for so many objects; each fill ends as told by its source. Returns what was sent first for each.
+/// Requests `count` objects, whose fills end as `end` says for their source. Returns the first attempt for each.
 fn fills(rig: &mut Rig, count: u64, end: impl Fn(ServerId) -> (Status, Note, Duration)) -> Vec<Get> {
     let mut all = Vec::new();
     for object in 0..count {
@@ -1050,13 +1066,13 @@
 /// docs/design/large-fleet.md, invariant 4.
 #[test]
 fn fills_are_withheld_before_an_origin_that_slows_brings_them_all_too_late() {
-    // The aim is 250 + 2 * 50 ms. At 250 ms each is still in time, and what is asked next waits longer.
+    // The objective is 250 + 2 * 50 ms. A fill of 250 ms is still in time, but the next ones will take longer.
     let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
     let sent = fills(&mut rig, 60, |_| (Status::Ok, Note::FilledByOrigin, 250 * MS));
-    assert!(sent[30..].iter().filter(|g| g.cached_only).count() > 5, "some are withheld");
+    assert!(sent[30..].iter().filter(|g| g.cached_only).count() > 5, "some fills are withheld");
     let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
     let sent = fills(&mut rig, 60, |_| (Status::Ok, Note::FilledByOrigin, 120 * MS));
-    assert!(sent.iter().all(|g| !g.cached_only), "none while it is quick");
+    assert!(sent.iter().all(|g| !g.cached_only), "none is withheld while fills are fast");
 }
 
 /// docs/design/large-fleet.md, invariant 5.
@@ -1067,15 +1083,15 @@
         50 => (Status::Error, Note::SourceLost, 20 * MS),
         _ => (Status::Ok, Note::Filled, 60 * MS),
     });
-    assert!(sent.iter().any(|g| g.source == 50), "it is tried");
-    assert!(sent.iter().filter(|g| g.source == 51).all(|g| !g.cached_only), "the other fetches");
+    assert!(sent.iter().any(|g| g.source == 50), "the failing parent is tried");
+    assert!(sent.iter().filter(|g| g.source == 51).all(|g| !g.cached_only), "the other parent fetches");
 }
 
 /// docs/design/large-fleet.md, invariant 6.
 #[test]
 fn part_of_the_objects_of_a_parent_whose_link_is_full_go_to_their_next_home() {
     let ends = |slow: Duration| {
-        // In time all the same: nothing is withheld.
+        // The objective is long enough that no fill is late and none is withheld.
         let page = Class { latency_objective: 1000 * MS, ..Class::default() };
         let set = Settings { siblings: Siblings::None, classes: vec![page], ..settings() };
         let mut rig = Rig::new(set, fleet());
@@ -1086,11 +1102,14 @@
         (full, fit)
     };
     let (alike, full) = (ends(60 * MS), ends(250 * MS));
-    assert!(alike.0 > 70 && alike.1 > 70, "an even share: {alike:?}");
-    assert!(full.0 * 5 < alike.0 * 4 && full.0 > alike.0 / 5, "fewer, not none: {alike:?} {full:?}");
+    assert!(alike.0 > 70 && alike.1 > 70, "both parents get about the same share: {alike:?}");
+    assert!(
+        full.0 * 5 < alike.0 * 4 && full.0 > alike.0 / 5,
+        "the slow parent gets fewer fills, but some: {alike:?} {full:?}"
+    );
 }
 
-/// Share that so many routers together use of the budget of a parent that starts cold, over six seconds.
+/// The share of a cold parent's slow start budget that these routers use together, over six seconds.
 fn cold_share_used(routers: u64) -> f64 {
     let set = Settings {
         siblings: Siblings::None,
@@ -1105,7 +1124,7 @@
     let mut rigs = many(routers.max(1) as usize, &set, &hosts);
     let cold = Host { started: rigs[0].now, weight: 30.0, ..host(50, 0, 1) };
     rigs.iter_mut().for_each(|r| r.list(Scope::Changes, vec![cold.clone()]));
-    // Together they ask for six times as much as it may get, whatever their number.
+    // Together they request six times as much as the parent may get, whatever their number.
     let (steps, mut sent, mut room) = (300, 0.0, 0.0);
     let each = 240.0 / routers.max(1) as f64;
     for step in 0..steps {
@@ -1133,7 +1152,7 @@
     }
 }
 
-/// What becomes of a request after caches have reported this load of the link, so many ms before.
+/// The actions for a request that arrives `ms` milliseconds after caches have reported this load.
 fn asked_after_reports(load: &[f64], ms: u64) -> Vec<Action> {
     let report = ["util", "x1", "x0"].map(String::from).to_vec();
     let mut rig = Rig::new(Settings { siblings: Siblings::None, report, ..settings() }, fleet());
@@ -1163,7 +1182,7 @@
 /// docs/design/large-fleet.md, invariant 8.
 #[test]
 fn a_link_that_caches_report_as_full_is_believed_at_once_and_not_for_long() {
-    // The aim is 250 + 2 * 50 ms: at twenty times its 50 ms a fill is late, though nothing of one's own was slow.
+    // The objective is 250 + 2 * 50 ms: at twenty times its 50 ms a fill is late, though no own transfer was slow.
     let fills = |actions: &[Action]| get(actions).is_some_and(|g| g.source != g.server);
     assert!(!fills(&asked_after_reports(&[0.3, 20.0, 0.5], 10)));
     assert!(fills(&asked_after_reports(&[0.3, 20.0, 0.5], 8000)), "an old report does not count");
@@ -1176,7 +1195,7 @@
 /// docs/design/large-fleet.md, invariant 4.
 #[test]
 fn fills_that_are_out_for_too_long_count_before_they_end() {
-    // An origin that is overrun ends nothing for a second. Late is from 0.55 of 250 + 2 * 50 ms.
+    // An overloaded origin may answer nothing for a second. A fill is late after 0.55 of 250 + 2 * 50 ms.
     let later = |ms: u64| {
         let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
         (0..12).for_each(|object| drop(rig.ask(object)));
@@ -1186,12 +1205,12 @@
         }
         (100..130).filter(|&object| get(&rig.ask(object)).is_some_and(|g| g.cached_only)).count()
     };
-    assert_eq!(later(160), 0, "none is late yet");
-    assert!(later(300) > 10, "most is withheld: {}", later(300));
+    assert_eq!(later(160), 0, "no fill is late yet");
+    assert!(later(300) > 10, "most fills are withheld: {}", later(300));
 }
 
-/// Requests that reach the cold cache 1 within its first two seconds, of so many processes of one router that take
-/// requests by turns; whether they tell each other what they send to it.
+/// The number of requests sent to the cold cache 1 within its first two seconds by several processes of one router,
+/// which take requests in turn. With `telling`, each notifies the others of the work that it sends to the cache.
 fn sent_to_a_cold_cache(processes: usize, telling: bool) -> usize {
     let mut hosts = fleet();
     hosts[0].started = START;
@@ -1231,13 +1250,13 @@
     let together = sent_to_a_cold_cache(2, true);
     assert!(alone > 3, "{alone}");
     assert!(together <= alone + 1, "{together} together, {alone} alone");
-    assert!(sent_to_a_cold_cache(2, false) > alone + 1, "untold, they send more");
+    assert!(sent_to_a_cold_cache(2, false) > alone + 1, "without notifications they send more");
 }
 
-/// A cold store falls when each process that is started anew, or all of a fleet at once, begins with a whole budget.
+/// A cold store would be overloaded if each restarted process, or a whole restarted fleet, began with a full budget.
 #[test]
 fn a_router_that_is_killed_and_started_again_has_no_new_cold_budget() {
-    // Requests that reach the cold cache 1 in a span of two seconds, a new process taking over each so many ms.
+    // The number of requests sent to the cold cache 1 within two seconds, with a new process every `lives` ms.
     let sent = |lives: u64| {
         let mut hosts = fleet();
         let mut rig = Rig::new(settings(), hosts.clone());
@@ -1260,9 +1279,13 @@
     };
     let alone = sent(10_000);
     assert!(alone > 10, "{alone}");
-    // Half a span after its start a process has half of its budget again, whatever the one before it has sent.
+    // Half a span after its start a process has half of its budget, whatever its predecessor has sent.
     for lives in [1000, 500, 250] {
-        assert!(sent(lives) <= alone + alone / 4, "{} by lives of {lives} ms, {alone} by one", sent(lives));
+        assert!(
+            sent(lives) <= alone + alone / 4,
+            "{} by processes of {lives} ms each, {alone} by one process",
+            sent(lives)
+        );
     }
 }
 
@@ -1275,15 +1298,15 @@
     }
     old.tell(Event::Purged { age: Duration::ZERO, group: 9, object: Some(2) });
     let mut next = Rig { router: Router::new(settings(), 5), now: old.now, next: 500 };
-    // A cache that has started anew meanwhile is none of those that were learned of.
+    // The observations do not apply to a cache that has restarted in the meantime.
     let mut hosts = fleet();
     hosts[1].started = old.now;
     next.tell(Event::Members(Members { scope: Scope::Full, hosts }));
     next.router.take_over(old.router.learned(old.now, 100), &[Some(0)]);
     old.wait(10);
     next.wait(10);
-    let get = |actions: Vec<Action>| get(&actions).expect("it asks");
-    // The records of hits lead both to the same cache, and the purge binds both.
+    let get = |actions: Vec<Action>| get(&actions).expect("sent");
+    // Both processes use the same hit records and the same purges.
     let (before, after) = (get(old.ask(0)), get(next.ask(0)));
     assert_eq!((before.server, before.source), (after.server, after.source));
     assert_eq!(get(old.ask(2)).max_age, get(next.ask(2)).max_age);
@@ -1310,24 +1333,24 @@
     let shed = homes(&mut rig);
     let left = of(&shed, 1) as f64 / first as f64;
     assert!((0.4..0.6).contains(&left), "{left}");
-    // What the other has stays there.
+    // Objects of the other cache do not move.
     assert!(before.iter().zip(&shed).all(|(old, new)| *old == 1 || *new == 2));
     rig.tell(Event::OffloadShares(BTreeMap::new()));
     rig.wait(30_000);
     assert_eq!(homes(&mut rig), before);
-    // With nowhere to go, it keeps them.
+    // Without another cache it keeps all objects.
     rig.list(Scope::Changes, vec![Host { state: State::Draining, ..host(2, 1, 0) }]);
     rig.tell(Event::OffloadShares([(1, 0.6)].into()));
     assert!(homes(&mut rig).iter().all(|s| *s == 1));
 }
 
-/// Cold caches fall over when gateways that stood still go on with what was lent to them before.
+/// Cold caches would be overloaded by suspended gateways that go on using an expired lease.
 #[test]
 fn a_share_that_was_lent_is_used_until_it_lapses_and_the_own_one_from_then_on() {
     let sent = |shares: Option<Quotas>, wait: u64| {
         let lone = vec![host(1, 1, 0), host(ORIGIN, 0, 2)];
         let mut rig = Rig::new(Settings { zone_routers: vec![0, 10], shares, ..settings() }, lone);
-        // It has lived for longer than a span, so that its credit is whole.
+        // The router has run for longer than a span, so its budget is not reduced.
         rig.wait(3000);
         let back = Host { started: rig.now, ..host(1, 1, 0) };
         rig.list(Scope::Changes, vec![back]);
@@ -1347,7 +1370,8 @@
     assert!(alone < configured, "{alone} against {configured}");
 }
 
-/// Each gateway of hundreds finds a dead store out alone: word of it lets the first own failure tell, and nothing less.
+/// Without gossip, each of hundreds of gateways has to detect a dead store by itself. Gossip makes the first own
+/// failure sufficient, but does not eject a store by itself.
 #[test]
 fn gossip_of_a_failing_server_ejects_it_by_the_first_own_failure_only() {
     let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
@@ -1366,7 +1390,7 @@
     for _ in 0..100 {
         rig.tell(Event::Suspected(1));
     }
-    assert_eq!(avoided(&rig), 0, "words alone");
+    assert_eq!(avoided(&rig), 0, "gossip alone");
     fails(&mut rig);
-    assert_eq!(avoided(&rig), 1, "words and one failure");
+    assert_eq!(avoided(&rig), 1, "gossip and one failure");
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start over a whole fleet in virtual time: the gateways together keep to what the settings allow a server that
-//! has started, in every span of that length, whatever their number.
+//! Simulates slow start in a whole fleet in virtual time: all gateways together must stay within the slow start budget
+//! of a server, in every span of the configured length, whatever the number of gateways.
 use larchway::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,55 +9,55 @@
 const CACHE: ServerId = 1;
 const PARENT: ServerId = 50;
 const ORIGIN: ServerId = 90;
-/// How long work counts towards a fall, the multiple at which it comes, and how servers warm.
+/// The span and the multiple of the overload, and the slow start of servers.
 const FALL_SPAN: Duration = Duration::from_millis(2000);
 const MULTIPLE: f64 = 2.5;
 const COLD_FROM: f64 = 0.1;
 const COLD_SPAN: Duration = Duration::from_millis(20_000);
-/// Time within which answers earn the full worth, and the sending time of a request of mean work.
+/// The latency objective, and the mean sending time of a request.
 const AIM: Duration = Duration::from_millis(600);
 const WORK: Duration = Duration::from_millis(400);
-/// When the servers start, twice, after the fleet has been up for long; and the day ends.
+/// When the servers start (twice), after the fleet has been up for long, and the end of the simulation.
 const STARTS: [MonotonicTime; 2] =
     [MonotonicTime::from_micros(100_000_000), MonotonicTime::from_micros(104_000_000)];
 const END: MonotonicTime = MonotonicTime::from_micros(107_000_000);
-/// Until then all gateways are told of a start.
+/// Time in milliseconds within which all gateways are notified of a start.
 const TOLD_WITHIN_MS: u64 = 400;
-/// Time between two rounds of the fleet.
+/// Time step of the simulation.
 const ROUND: Duration = Duration::from_millis(20);
 
-/// Standard deviation of the logarithm of sending times that are spread widely.
+/// Standard deviation of the logarithm of the sending times, for [`Sizes::Spread`].
 const SPREAD: f64 = 1.1;
-/// In ten of its answers, how many a warm cache gives from its copies, where that is played.
+/// Number of cache hits in ten answers of a warm cache, for [`Sizes::Spread`].
 const HITS_IN_TEN: u64 = 7;
 
-/// What clients tell of sizes, and how they vary.
+/// Whether clients state sizes, and how sizes vary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Sizes {
-    /// All are equal, and stated.
+    /// All sizes are equal and stated.
     Stated,
-    /// All are equal, and not stated.
+    /// All sizes are equal and not stated.
     Equal,
-    /// They vary widely and are not stated. Warm caches have most of the objects, and slow down under load: the first
-    /// answers that a gateway sees are those of small objects.
+    /// Sizes vary widely and are not stated. Warm caches have most of the objects and slow down under load, so the
+    /// first answers that a gateway sees are those of small objects.
     Spread,
 }
 
-/// One fleet and what is asked of it.
+/// A fleet and its load.
 #[derive(Debug, Clone, Copy)]
 struct Fleet {
     gateways: u64,
-    /// Requests of mean work that the settings allow a cold server in the span, at its start.
+    /// Requests of mean work that the settings allow a cold server in a span right after its start.
     allowed: f64,
-    /// What clients tell of sizes.
+    /// The sizes of objects.
     sizes: Sizes,
-    /// Share of the gateways that start anew at the same moments as the servers, in percent.
+    /// Share of the gateways that restart at the same time as the servers, in percent.
     restarted: u64,
     /// Whether the cold servers are the only cache and the only parent.
     alone: bool,
 }
 
-/// A seeded generator.
+/// A seeded random number generator.
 struct Draws(u64);
 
 impl Draws {
@@ -66,13 +66,14 @@
         mix(self.0) % bound.max(1)
     }
 
-    /// A number above 0 and up to 1.
+    /// A random number above 0 and up to 1.
     fn unit(&mut self) -> f64 {
         unit(self.below(u64::MAX))
     }
 }
 
-/// A gateway, when it is told of the servers' starts, of how many it has been told, and its attempts that are out.
+/// A gateway, the times at which it is notified of the servers' starts, the number of starts that it has been notified
+/// of, and its attempts in flight.
 struct Gateway {
     router: Router,
     told_at: [MonotonicTime; 2],
@@ -80,7 +81,7 @@
     out: Vec<Transfer>,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct Transfer {
     ends: MonotonicTime,
     id: RequestId,
@@ -89,13 +90,13 @@
     took: Duration,
 }
 
-/// How many attempts of all gateways are out, by server.
+/// Number of attempts of all gateways in flight, by server.
 type Busy = BTreeMap<ServerId, u64>;
 
-/// When requests reached a server after one of its starts, from gateways that had been told of it.
+/// The times at which requests were sent to a server after one of its starts, by gateways notified of that start.
 type Sent = Vec<MonotonicTime>;
 
-/// The same of the cold cache and of the cold parent, after each start.
+/// For the cold cache and the cold parent, the requests sent after each of their starts.
 type AllSent = [[Sent; 2]; 2];
 
 /// The microseconds of a span, for shares of spans.
@@ -104,7 +105,7 @@
 }
 
 impl Fleet {
-    /// Transfers that a cold server carries when it is warm: what makes the settings allow it so much at its start.
+    /// Number of transfers that a server must carry when warm to be allowed [`Fleet::allowed`] right after its start.
     fn flows(&self) -> f64 {
         self.allowed * micros(WORK) / (MULTIPLE * COLD_FROM * micros(FALL_SPAN))
     }
@@ -121,7 +122,7 @@
         Duration::from_micros((micros(WORK) * factor) as u64)
     }
 
-    /// How long a transfer takes that begins now: longer at a warm server with more transfers than it carries.
+    /// Duration of a transfer that begins now: longer at a warm server that has more transfers than it carries.
     fn takes(&self, id: RequestId, server: ServerId, busy: &Busy) -> Duration {
         let transfers = busy.get(&server).map_or(1.0, |transfers| *transfers as f64);
         let slows = self.sizes == Sizes::Spread && server != CACHE;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// A cache and a parent as large as the allowance wants them, and as a rule one more of each that is warm.
+    /// The cold cache and parent with the capacity for the allowed work, and unless they are alone a warm one of each.
     fn hosts(&self, started: MonotonicTime) -> Vec<Host> {
         let host = |server, kind, weight, started: MonotonicTime| {
             let zone = usize::from(kind == 0);
@@ -171,7 +172,7 @@
         hosts
     }
 
-    /// A gateway that starts, told of so many starts of the servers.
+    /// Starts a gateway that knows of the first `told` starts of the servers.
     fn gateway(&self, number: u64, now: MonotonicTime, told: usize, told_at: [MonotonicTime; 2]) -> Gateway {
         let mut router = Router::new(self.settings(), mix(number));
         let hosts = self.hosts(if told > 0 { STARTS[told - 1] } else { Host::STARTED_LONG_AGO });
@@ -179,7 +180,7 @@
         Gateway { router, told_at, told, out: Vec::new() }
     }
 
-    /// Plays the day; returns what gateways that had been told sent to the cold servers.
+    /// Runs the simulation; returns the requests that notified gateways sent to the cold servers.
     fn play(&self, seed: u64) -> AllSent {
         let mut draws = Draws(seed);
         let mut fleet: Vec<Gateway> = (0..self.gateways)
@@ -190,7 +191,7 @@
             .collect();
         let (mut sent, mut busy) = (AllSent::default(), Busy::new());
         let (mut id, mut round, mut owed) = (0, 0, 0.0);
-        // Four times what a warm server could do, in the mean, and as much at once now and then.
+        // A mean load of four times what a warm server can do, and regular bursts.
         let rate = 4.0 * self.allowed / COLD_FROM * micros(ROUND) / micros(FALL_SPAN);
         let mut now = STARTS[0] - 1000 * MS;
         while now < END {
@@ -214,7 +215,7 @@
         sent
     }
 
-    /// Gateways that are killed at a start of the servers and come back know of it from their first list.
+    /// Restarts some gateways at a start of the servers; their first list includes that start.
     fn restart_some(
         &self,
         fleet: &mut [Gateway],
@@ -234,6 +235,7 @@
         }
     }
 
+    /// Notifies a gateway of the next start once that is due.
     fn tell(&self, gateway: &mut Gateway, now: MonotonicTime) {
         if gateway.told < STARTS.len() && now >= gateway.told_at[gateway.told] {
             let list = Members { scope: Scope::Changes, hosts: self.hosts(STARTS[gateway.told]) };
@@ -242,6 +244,7 @@
         }
     }
 
+    /// Sends a request through a gateway.
     fn ask(
         &self,
         gateway: &mut Gateway,
@@ -251,14 +254,14 @@
         busy: &mut Busy,
     ) {
         let size_kb = if self.sizes == Sizes::Stated { micros(WORK) / micros(MS) } else { 0.0 };
-        // No object is asked for twice: each request is a fill.
+        // Each object is requested once, so each request is a fill.
         let request = Request { id, object: mix(id), ttl: 60_000 * MS, size_kb, ..Request::default() };
         let mut actions = Vec::new();
         gateway.router.handle(now, Event::Request(request), &mut actions);
         self.carry_out(gateway, now, 0, &actions, sent, busy);
     }
 
-    /// Ends the attempts that are due: one in ten fails and is tried again.
+    /// Ends the attempts that are complete; one in ten fails and is retried.
     fn end(
         &self,
         gateway: &mut Gateway,
@@ -291,6 +294,7 @@
         }
     }
 
+    /// Starts the transfers of a gateway's new attempts and records those sent to the cold servers.
     fn carry_out(
         &self,
         gateway: &mut Gateway,
@@ -316,7 +320,8 @@
         }
     }
 
-    /// Requests of mean work that a server bears which started so long ago, in a span that ends now.
+    /// Maximum number of requests of mean work allowed in a span that ends `since` after a server's start, with a
+    /// margin for statistical deviations.
     fn most(&self, since: Duration) -> f64 {
         let warmth = (COLD_FROM + (1.0 - COLD_FROM) * micros(since) / micros(COLD_SPAN)).min(1.0);
         let allowed = self.allowed * warmth / COLD_FROM;
@@ -324,7 +329,7 @@
         allowed + times * allowed.sqrt() + plus
     }
 
-    /// Plays the day, in which no span of any server may hold more than its budget.
+    /// Runs the simulation and checks that no server gets more than its budget in any span.
     fn check_budgets(&self) {
         for (server, lives) in self.play(self.gateways + self.allowed as u64).iter().enumerate() {
             for (start, sent) in STARTS.iter().zip(lives) {
@@ -334,7 +339,7 @@
         }
     }
 
-    /// The largest share of the budget that is used in any span, wherever it begins.
+    /// The largest share of the budget that is used in any span.
     fn used(&self, start: MonotonicTime, sent: &Sent) -> f64 {
         let mut first = 0;
         let used = sent.iter().enumerate().map(|(last, at)| {
@@ -347,8 +352,8 @@
     }
 }
 
-/// A server that has started is pushed over by the sum of what all gateways send: fills, retries and bursts, with
-/// gateways that start at the same time and know nothing of what a request takes.
+/// A server that has just started must not be overloaded by the sum of what all gateways send: fills, retries and
+/// bursts, also from gateways that start at the same time and have not observed the work of any request.
 #[test]
 fn every_span_keeps_the_budget_of_a_cold_server_for_any_number_of_gateways() {
     for gateways in [1, 7, 60, 300, 900] {
@@ -365,10 +370,9 @@
     }
 }
 
-/// All gateways are killed and come back at once, before servers that have just started, which then go down under the sum
-/// of what they are sent. None of the new processes knows what a request takes, and the first answers that each sees are
-/// those of small objects: by these it took requests for less than they are. Played with these numbers, 46 of 700 lives of
-/// a server were sent more than their budget, 2.9 times it at worst.
+/// All gateways restart together with the servers, without observations of the work of requests. The first answers are
+/// those of small objects, so the gateways underestimated the work and together overloaded the servers: 46 of 700
+/// starts of a server exceeded its budget, by up to 2.9 times.
 #[test]
 fn a_fleet_that_has_been_restarted_keeps_every_budget_however_widely_sizes_are_spread() {
     std::thread::scope(|scope| {
@@ -392,7 +396,7 @@
     }
 }
 
-/// A list that loses a cold server and names it again lets nobody send its share once more.
+/// A list that drops a cold server and names it again must not grant a new slow start budget.
 #[test]
 fn a_server_that_leaves_the_list_and_returns_has_no_new_budget() {
     let fleet = Fleet { gateways: 1, allowed: 30.0, sizes: Sizes::Stated, restarted: 0, alone: true };
@@ -422,7 +426,7 @@
     }
 }
 
-/// A budget of which nothing is used leaves a parent that has started idle until it is warm.
+/// A parent that has just started must not stay idle until it is warm.
 #[test]
 fn a_cold_parent_gets_some_work_from_any_number_of_gateways() {
     for gateways in [1, 10, 100, 900] {
@@ -435,10 +439,10 @@
     }
 }
 
-/// A store that is the only one of its location and had just started was left without requests by a gateway that had just
-/// started as well: each request counted for good by what its class was taken for when it was sent, so that the first ones
-/// filled the budget for its whole span, though each had been answered within milliseconds. Beside other work 8 of 15 plays
-/// of a list that leaves such a store alone ended with a request refused; the store bore hundreds in that span.
+/// A gateway that had just started rejected requests for the only store of a location, which had just started too. Each
+/// request counted with the work assumed when it was sent, so the first ones filled the budget for its whole span
+/// although they were answered within milliseconds. On a busy machine, 8 of 15 runs of a scenario with such a store
+/// ended with a rejected request; the store could take hundreds in that span.
 ///
 /// ```text
 /// a store has started store="s-a2" age_ms=0 by_own_clock_ms=0
--- a/tests/source_size.rs
+++ b/tests/source_size.rs
@@ -1,23 +1,23 @@
-//! Bounds on the source files of packages and modules that a reader must be able to take in, and on what their heads say.
+//! Checks bounds on the size of source files, functions and lines, and the documentation at the head of files.
 use std::path::Path;
 
-/// What the files below a folder keep to.
+/// The bounds for the source files of a folder and its subfolders.
 struct Bounds {
     /// The folder, from the root of the workspace.
     folder: &'static str,
-    /// Files that are found in it at least.
+    /// Minimum number of files; shows that the check reads the right folder.
     min_files: usize,
-    /// Functions that are found in them at least.
+    /// Minimum number of functions; shows that the check finds them.
     min_functions: usize,
-    /// Lines of a file at most.
+    /// Maximum number of lines of a file.
     max_file_lines: usize,
-    /// Lines of a function at most.
+    /// Maximum number of lines of a function.
     max_function_lines: usize,
-    /// Characters of a line at most.
+    /// Maximum number of characters of a line.
     max_columns: usize,
 }
 
-/// The decision module, which is read in audits.
+/// The decision module, which is audited.
 const DECISION_MODULE: Bounds = Bounds {
     folder: "src",
     min_files: 16,
@@ -27,8 +27,8 @@
     max_columns: 110,
 };
 
-/// The gateway's core and configuration. rustfmt holds code to 110 columns, and comments are wrapped at 120. The schemas
-/// under `deploy/` have the line breaks of some of these comments, so those may not be wrapped anew.
+/// The gateway's core and configuration. rustfmt limits code to 110 columns, and comments are wrapped at 120. The
+/// schemas under `deploy/` contain the line breaks of some of these comments, so rewrapping those changes the schemas.
 const CORE: Bounds = Bounds {
     folder: "gateway/src/core",
     min_files: 10,
@@ -58,7 +58,7 @@
     max_file_lines: 360,
     ..PLATFORM_FRONT
 };
-/// The event loop, whose main module has the gateway's state.
+/// The event loop, whose main module holds the gateway's state.
 const EVENT_LOOP: Bounds = Bounds {
     folder: "gateway/src/net",
     min_files: 18,
@@ -80,9 +80,9 @@
 /// The operators' console.
 const CONSOLE: Bounds =
     Bounds { folder: "gateway/src/console", min_files: 6, min_functions: 40, ..HIERARCHY };
-/// The clocks, and the times on wires.
+/// The clocks, and the encoding of times on wires.
 const CLOCK: Bounds = Bounds { folder: "gateway/src/clock", min_files: 6, min_functions: 46, ..HIERARCHY };
-/// The processes of a gateway during an upgrade.
+/// The hand-over between the processes of a gateway during an upgrade.
 const UPGRADE: Bounds =
     Bounds { folder: "gateway/src/upgrade", min_files: 4, min_functions: 27, ..HIERARCHY };
 /// The admin socket.
@@ -90,13 +90,13 @@
 /// The command line.
 const COMMAND_LINE: Bounds =
     Bounds { folder: "gateway/src/cli", min_files: 4, min_functions: 19, ..HIERARCHY };
-/// The files that survive a crash.
+/// Crash-safe files.
 const DURABLE_FILE: Bounds =
     Bounds { folder: "gateway/src/durable_file", min_files: 4, min_functions: 59, ..HIERARCHY };
-/// The exchange with the other gateways of a tier.
+/// The communication with the other gateways of a tier.
 const PEERS: Bounds = Bounds { folder: "gateway/src/peers", min_files: 5, min_functions: 42, ..HIERARCHY };
 
-/// The package of the endpoints.
+/// The package of the endpoint list.
 const ENDPOINTS: Bounds = Bounds {
     folder: "crates/endpoints/src",
     min_files: 21,
@@ -106,11 +106,11 @@
     max_columns: 120,
 };
 
-/// The package of day-to-day operation.
+/// The package of operators' functions.
 const OPERATIONS: Bounds =
     Bounds { folder: "crates/operations/src", min_files: 13, min_functions: 75, ..ENDPOINTS };
 
-/// The package of the events' distribution.
+/// The package of the distribution of events.
 const DISTRIBUTION: Bounds = Bounds {
     folder: "crates/distribution/src",
     min_files: 45,
@@ -120,7 +120,7 @@
     max_columns: 120,
 };
 
-/// The package of the failure detector, the lease and the health of stores among the gateways of a tier.
+/// The package of the failure detector, the leases and the store health among the gateways of a tier.
 const CLUSTER: Bounds = Bounds {
     folder: "crates/cluster/src",
     min_files: 18,
@@ -130,7 +130,7 @@
     max_columns: 120,
 };
 
-/// The drivers of the events' distribution: the relay's daemon, the gateway's events, and the reader of their streams.
+/// The drivers of the distribution of events: the relay daemon, the gateway's events, and the reader of event streams.
 const RELAY: Bounds =
     Bounds { folder: "gateway/src/relay", min_files: 15, min_functions: 129, ..DISTRIBUTION };
 const EVENTS: Bounds =
@@ -176,23 +176,23 @@
     Bounds { folder: "lab/preload/src", min_files: 7, min_functions: 61, ..STAND_INS };
 const FAULT_PLAN: Bounds =
     Bounds { folder: "lab/fault-plan/src", min_files: 3, min_functions: 12, ..STAND_INS };
-/// The folders of the laboratory with these bounds.
+/// The folders of the laboratory.
 const LABORATORY: [Bounds; 7] =
     [STAND_INS, HOLLOW_GATEWAYS, FAULT_HARNESS, LOAD, FOLLOWERS, FAULT_LIBRARY, FAULT_PLAN];
 
-/// A source file: its path from the root of the workspace, and its text.
+/// A source file with its path from the root of the workspace.
 struct SourceFile {
     name: String,
     text: String,
 }
 
-/// A function: its first line, and how many lines it has.
+/// A function with its first line and its number of lines.
 struct Function<'a> {
     signature: &'a str,
     lines: usize,
 }
 
-/// The source files of a folder and of the folders in it.
+/// The source files of a folder and its subfolders.
 fn source_files(folder: &str) -> Vec<SourceFile> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let (mut folders, mut files) = (vec![root.join(folder)], Vec::new());
@@ -210,7 +210,7 @@
     files
 }
 
-/// The functions of a text, by the indentation that rustfmt gives.
+/// The functions of a text, found by rustfmt's indentation.
 fn functions(text: &str) -> Vec<Function<'_>> {
     let lines: Vec<&str> = text.lines().collect();
     let is_start = |line: &str| {
@@ -226,6 +226,7 @@
     starts.map(|at| Function { signature: lines[at], lines: length(at) }).collect()
 }
 
+/// Checks the files of a folder against its bounds.
 fn check(bounds: &Bounds) {
     let files = source_files(bounds.folder);
     assert!(files.len() >= bounds.min_files, "{}: {} files", bounds.folder, files.len());
@@ -250,8 +251,8 @@
     assert!(logic.lines().take(3).any(|l| l.contains("src/interface.rs")));
 }
 
-/// `policy` in the deploy file is what an audit reads: every file of the decisions is in it, but for those whose head
-/// says that they decide nothing.
+/// Audits read the files that `policy` in the deploy file names: it must name every file of the decision logic except
+/// those whose head says that nothing is decided there.
 #[test]
 fn the_policy_names_every_file_with_decisions() {
     let deploy = include_str!("../deploy/balancer.toml");
@@ -281,7 +282,7 @@
     [PLATFORM_FRONT, STORE_WIRE, SIGNED_FRONT, EVENT_LOOP].iter().for_each(check);
 }
 
-/// What a driver knows of the event loop would be the way back into a circle of imports.
+/// A driver that uses the event loop would create an import cycle.
 #[test]
 fn the_drivers_know_neither_the_event_loop_nor_the_connections() {
     for Bounds { folder, .. } in [PLATFORM_FRONT, STORE_WIRE, SIGNED_FRONT] {
@@ -311,7 +312,7 @@
     check(&OPERATIONS);
 }
 
-/// The source files of a folder but its test files.
+/// The source files of a folder, except test files.
 fn sources_without_tests(folder: &str) -> Vec<SourceFile> {
     source_files(folder).into_iter().filter(|file| !file.name.ends_with("tests.rs")).collect()
 }
@@ -363,7 +364,7 @@
         [TRIALS, CAPACITY_PAGE].iter().flat_map(|bounds| source_files(bounds.folder)).collect::<Vec<_>>();
     for SourceFile { name, text } in files {
         assert!(text.starts_with("//! "), "{name} begins with its documentation");
-        assert!(!text.contains("too_many_lines"), "{name}: no function is let off the bound");
+        assert!(!text.contains("too_many_lines"), "{name}: no function may be exempt from the bound");
     }
 }
 
--- a/tests/time.rs
+++ b/tests/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time and the spans between its moments.
+//! Tests of the arithmetic of monotonic time.
 use larchway::{duration_micros, MonotonicTime};
 use std::time::Duration;
 
