--- a/crates/cluster/src/failure_detector.rs
+++ b/crates/cluster/src/failure_detector.rs
@@ -1,12 +1,12 @@
-//! The failure detector: which gateways of a tier are alive, as one of them knows.
+//! The failure detector of one gateway: it determines which gateways of the tier are alive.
 //!
 //! Each member counts beats by its clock. In each exchange (a ping and its ack) both sides send the latest beats they
-//! know of all members, so that signs of life reach a gateway by any open path, whatever links are cut. Beats are dated
-//! by the one received with the least delay, so that delayed gossip is not taken for a recent sign of life. A gateway
-//! that gets no answer from a member, directly or through others, suspects it since its first unanswered ping; a later
-//! beat refutes that. A member is considered dead when two gateways suspect it, the first ping was longer ago than the
-//! longest pause, and others have confirmed since then that they know of nothing later. See `docs/design/fleet.md`,
-//! invariants M1 to M9.
+//! know of all members, so that signs of life reach a gateway over any working path, whatever links are cut. The time
+//! of a beat is computed from the beat that arrived with the least delay, so that delayed gossip does not appear to be
+//! a recent sign of life. A gateway that gets no answer from a member, directly or through others, suspects it from the
+//! time of its first unanswered ping; a later beat refutes the suspicion. A member is considered dead when two gateways
+//! suspect it, the first unanswered ping is older than the longest pause, and other members have confirmed since then
+//! that they know of no later beat. See `docs/design/fleet.md`, invariants M1 to M9.
 mod exchange;
 mod member;
 mod probing;
@@ -41,16 +41,16 @@
     Tick,
     /// A ping, an ack or an indirect ping was received.
     Received {
-        /// Which of the three.
+        /// The kind of message: one of the three above.
         kind: MessageKind,
         /// The member that sent it.
         from: u16,
-        /// Its body.
+        /// The body of the message.
         body: &'a [u8],
     },
     /// This gateway begins its graceful shutdown.
     Leave,
-    /// The configuration has changed.
+    /// A new configuration has changed this gateway's number or the number of members.
     Resized {
         /// This gateway's own number.
         own_member: u16,
@@ -64,25 +64,25 @@
 pub enum Output {
     /// Send a message.
     Send {
-        /// The member that it goes to.
+        /// The recipient's member number.
         to: u16,
-        /// Its kind.
+        /// The kind of message.
         kind: MessageKind,
-        /// Its body.
+        /// The encoded body.
         body: Vec<u8>,
     },
     /// The state of a member has changed.
     StateChanged {
-        /// The member.
+        /// The member's number.
         member: u16,
         /// Its new state.
         state: MemberState,
     },
-    /// This gateway was itself paused for this span.
+    /// This gateway itself was paused for this long.
     Paused(Duration),
     /// This gateway receives nothing from any other member.
     Isolated,
-    /// It receives datagrams again.
+    /// This gateway receives datagrams again after [`Output::Isolated`].
     Reconnected,
 }
 
@@ -91,38 +91,39 @@
 pub struct FailureDetector {
     settings: FleetFile,
     own_member: u16,
-    /// The own incarnation; it increases with the clock.
+    /// This gateway's incarnation, which increases with each start.
     incarnation: u16,
-    /// When the own incarnation began: its beats count from then.
+    /// When this incarnation began: its beats are counted from then.
     started_at: MonotonicTime,
-    /// By number, at most 65,535 of them; the entry of the gateway itself is unused.
+    /// All members by number, at most 65,535; the entry of this gateway itself is unused.
     members: Vec<Member>,
     random: Random,
     send_budget: SendBudget,
 
-    /// All other members in random order, shuffled again for each pass.
+    /// All other members in random order; shuffled again when each has been probed.
     probe_order: Vec<u16>,
     /// The position of the next probe in `probe_order`.
     probe_position: usize,
     probe_rounds: u64,
     next_probe_at: MonotonicTime,
     next_stale_probe_at: MonotonicTime,
-    /// Probes in flight for other members, at most [`timing::MAX_INDIRECT_PROBES`].
+    /// Probes in flight at the request of other members, at most [`timing::MAX_INDIRECT_PROBES`].
     indirect_probes: Vec<IndirectProbe>,
-    /// The member at which the next window of heartbeats begins.
+    /// The number of the member at which the next window of heartbeats begins.
     next_window_start: usize,
 
     /// When the last input was handled.
     last_handled_at: Option<MonotonicTime>,
+    /// Until when a mass failure is assumed to last.
     mass_failure_until: MonotonicTime,
-    /// Until when it reports its own pause.
+    /// Until when this gateway reports its own pause in its gossip.
     announce_pause_until: MonotonicTime,
-    /// Until when it suspects nobody after its own pause.
+    /// Until when this gateway suspects nobody after its own pause.
     suspect_nobody_until: MonotonicTime,
     last_received_at: MonotonicTime,
     pings_since_received: u32,
     isolated: bool,
-    /// Moving average of the share of own pings that were lost, on the way to members that were alive.
+    /// Moving average of the share of this gateway's pings to live members that were lost, from 0 to 1.
     ping_loss: f64,
     leaving: bool,
 
@@ -133,9 +134,10 @@
 }
 
 impl FailureDetector {
-    /// A detector of `members` gateways, none of which has sent anything. `seed` has to differ with each start.
+    /// A detector for `members` gateways, none of which has sent anything yet. `seed` must differ at each start.
     pub fn new(now: MonotonicTime, settings: FleetFile, own_member: u16, members: usize, seed: u64) -> Self {
-        // Incarnations increase with the clock. One that is not above the last is corrected by what peers send.
+        // Incarnations increase with the clock. If the clock was set back, gossip that names the later one corrects it
+        // (see `refute_claim_about_self`).
         let incarnation = (units_in(now - MonotonicTime::MIN, DECISECOND) as u16).max(1);
         let first_probe_delay = Duration::from_micros(mix(seed) % duration_micros(settings.period()));
         let mut detector = FailureDetector {
@@ -171,12 +173,12 @@
         detector
     }
 
-    /// Takes new settings; the state of the members stays.
+    /// Replaces the settings; the state of the members is kept.
     pub fn configure(&mut self, settings: FleetFile) {
         self.settings = settings;
     }
 
-    /// Handles an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `outputs`.
     pub fn handle(&mut self, now: MonotonicTime, input: Input<'_>, outputs: &mut Vec<Output>) {
         self.detect_own_pause(now, outputs);
         match input {
@@ -210,7 +212,7 @@
         self.others().filter(|member| self.is_alive(*member))
     }
 
-    /// A random choice of other members that are considered alive, at most `number`.
+    /// Other members that are considered alive, chosen at random; at most `number`.
     pub fn random_alive_others(&mut self, number: usize) -> Vec<u16> {
         let mut chosen: Vec<u16> = self.alive_others().collect();
         let number = number.min(chosen.len());
@@ -219,14 +221,14 @@
         chosen
     }
 
-    /// Bytes of memory that the members take, whose number is by far the largest part of this state.
+    /// Bytes of memory that the members' records take: by far the largest part of this state.
     pub fn memory_bytes(&self) -> usize {
         let members = self.members.capacity() * size_of::<Member>();
         let probe_order = self.probe_order.capacity() * size_of::<u16>();
         members + probe_order + self.members.iter().map(Member::heap_bytes).sum::<usize>()
     }
 
-    /// All members of the configuration but the gateway itself.
+    /// All configured members except this gateway.
     fn others(&self) -> impl Iterator<Item = u16> + '_ {
         (0..self.members.len() as u16).filter(|member| *member != self.own_member)
     }
@@ -239,7 +241,7 @@
         &mut self.members[usize::from(number)]
     }
 
-    /// Whether the configuration has a member of this number, other than the gateway itself.
+    /// Whether this number belongs to a configured member other than this gateway.
     fn is_other(&self, number: u16) -> bool {
         usize::from(number) < self.members.len() && number != self.own_member
     }
@@ -278,7 +280,8 @@
         self.probe_next(now, outputs);
     }
 
-    /// M2: a gateway that was itself paused knows nothing of that time, and blames nobody for silence in it.
+    /// M2: detects that this gateway itself was paused. It could receive nothing meanwhile, so that time does not count
+    /// as silence of other members.
     fn detect_own_pause(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let handled_at = self.last_handled_at.replace(now).unwrap_or(now);
         let paused_for = now.saturating_since(handled_at);
@@ -296,7 +299,7 @@
         outputs.push(Output::Paused(paused_for));
     }
 
-    /// M6: a gateway that receives nothing though it sends pings is isolated, and reports it.
+    /// M6: a gateway that sends pings and receives nothing is isolated; reports each change.
     fn update_isolation(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let silent_for = now.saturating_since(self.last_received_at);
         let isolated = self.pings_since_received >= ISOLATION_PINGS && silent_for >= ISOLATION_SILENCE;
--- a/crates/cluster/src/failure_detector/exchange.rs
+++ b/crates/cluster/src/failure_detector/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of gossip: what this gateway sends in pings and acks, and what it takes in from those of others.
+//! The exchange of gossip: building the pings and acks that this gateway sends, and applying those that it receives.
 use super::member::Member;
 use super::suspicion::ReportedHeartbeat;
 use super::timing::{
@@ -35,9 +35,11 @@
                 self.apply_suspicion(now, from, claim);
             }
         }
-        // A gateway that was paused finds hundreds of pings waiting, and would answer all at once.
+        // After a pause of this gateway hundreds of pings may be queued: the budget limits how many are answered at
+        // once.
         if kind == MessageKind::Ping && !self.leaving && self.send_budget.allows_answer(now) {
-            // The sender wants to know of the members that it suspects.
+            // A ping makes claims about the members that the sender suspects; the answer contains what is known of them
+            // here.
             let wanted: Vec<u16> = gossip.claims.iter().map(|claim| claim.member).collect();
             self.send_gossip(now, from, MessageKind::Ack, &wanted, outputs);
         }
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Sends gossip to a member, with claims about the wanted members first.
+    /// Sends gossip to a member; it begins with claims about the `wanted` members.
     pub(super) fn send_gossip(
         &mut self,
         now: MonotonicTime,
@@ -106,9 +108,10 @@
         }
     }
 
-    /// The wanted members, then a random choice of those of which all should hear; [`MAX_CLAIMS`] at most.
+    /// The members to make claims about: the wanted ones, then a random choice of those whose state all members should
+    /// learn; at most [`MAX_CLAIMS`].
     fn members_to_claim(&mut self, now: MonotonicTime, wanted: &[u16]) -> Vec<u16> {
-        // The sender's configuration may be newer, and have more members.
+        // The sender's configuration may be newer and contain more members.
         let mut claimed: Vec<u16> = wanted.iter().copied().filter(|member| self.is_other(*member)).collect();
         claimed.truncate(MAX_CLAIMS);
         let mut to_announce: Vec<u16> =
@@ -122,8 +125,8 @@
         claimed
     }
 
-    /// Whether all should hear of a member: it is suspected, or that was just refuted, or it has just been found dead.
-    /// A death is claimed for as long as the state is held, so that those who were late come to it.
+    /// Whether all members should learn the state of a member: it is suspected, a suspicion was just refuted, or it was
+    /// just declared dead. A death is claimed for [`STATE_HOLD`], so that members that detect it late adopt it too.
     fn needs_announcement(&self, number: u16, now: MonotonicTime) -> bool {
         let member = self.member(number);
         let is_or_was_suspected = member.suspected_since.is_some() || now < member.announce_refutation_until;
@@ -131,7 +134,8 @@
         !member.left && (is_or_was_suspected || is_newly_dead)
     }
 
-    /// The next heartbeats in the order of the members' numbers, as many as fit beside so many claims.
+    /// The next heartbeats in the order of the members' numbers, as many as fit into a datagram with this many claims.
+    /// Returns the number of the first member and the heartbeats.
     fn next_window(&mut self, claims: usize) -> (u16, Vec<Heartbeat>) {
         let members = self.members.len();
         let capacity = Gossip::window_capacity(claims).min(members);
@@ -141,7 +145,7 @@
         (first as u16, self.members[first..end].iter().map(Member::heartbeat).collect())
     }
 
-    /// The claim about a member. It is suspected if this gateway suspects it, or enough others do.
+    /// The claim about a member. It is claimed as suspected if this gateway suspects it, or enough others do.
     fn claim_about(&self, number: u16, now: MonotonicTime) -> MemberClaim {
         let member = self.member(number);
         let is_suspected = self.suspects_by_own_pings(member, now)
--- a/crates/cluster/src/failure_detector/member.rs
+++ b/crates/cluster/src/failure_detector/member.rs
@@ -1,4 +1,4 @@
-//! One member's record: its latest sign of life, who suspects it, and the pings that it has not answered.
+//! The record of one member: its latest sign of life, the members that suspect it, and its unanswered pings.
 use super::timing::{BEAT_INTERVAL, MAX_SUSPECTORS, PING_TIMEOUT, REFUTATION_ANNOUNCEMENT};
 use crate::wire::{is_later_beat, Heartbeat, BEAT_MASK};
 use larchway::{duration_micros, MonotonicTime};
@@ -9,51 +9,53 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It runs, as far as is known.
+    /// No member has declared it dead, and it has not left.
     Alive,
-    /// It has failed: several members got no answer from it, and nobody has a later sign of life.
+    /// It has failed: several members got no answer from it, and none knows of a later sign of life.
     Dead,
-    /// It has left gracefully.
+    /// It announced a graceful shutdown.
     Left,
 }
 
-/// A member as one gateway knows it.
+/// What one gateway knows of a member.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Member {
-    /// Its incarnation; 0: unknown so far.
+    /// The member's latest known incarnation; 0 until a heartbeat was received.
     pub(super) incarnation: u16,
-    /// Its latest beat that is known, modulo 2^14.
+    /// The member's latest known beat, modulo 2^14.
     beat: u16,
-    /// The same without wrap-around, counted from its start or from the first heartbeat received.
+    /// The latest known beat without wrap-around, counted from the member's start or from the first heartbeat received.
     beat_count: u64,
-    /// When its beat 0 was, dated by the beat that was received with the least delay; this gateway's start at first.
+    /// The time of its beat 0, computed from the beat received with the least delay; at first the time at which this
+    /// record was created.
     first_beat_at: MonotonicTime,
-    /// Whether it is considered dead.
+    /// Whether this gateway considers the member dead.
     pub(super) dead: bool,
-    /// Whether it has left gracefully.
+    /// Whether the member has left gracefully.
     pub(super) left: bool,
     /// When its state last changed, if it has in this incarnation.
     pub(super) state_changed_at: Option<MonotonicTime>,
-    /// Since when it is suspected: it was pinged then, and no later beat is known.
+    /// Since when it is suspected: the time of a ping without an answer after which no beat is known.
     pub(super) suspected_since: Option<MonotonicTime>,
-    /// Other members that suspect it, at most [`MAX_SUSPECTORS`].
+    /// Numbers of other members that suspect it, at most [`MAX_SUSPECTORS`].
     pub(super) suspected_by: Vec<u16>,
-    /// Other members that consider it dead, at most [`MAX_SUSPECTORS`].
+    /// Numbers of other members that consider it dead, at most [`MAX_SUSPECTORS`].
     pub(super) declared_dead_by: Vec<u16>,
-    /// When this gateway sent the first of its unanswered pings; [`MonotonicTime::MIN`] without any.
+    /// When this gateway sent the first unanswered ping; [`MonotonicTime::MIN`] if there is none.
     pub(super) first_unanswered_ping_at: MonotonicTime,
     /// When this gateway last pinged it.
     pub(super) last_ping_at: MonotonicTime,
-    /// Pings of this gateway without an answer.
+    /// The number of this gateway's pings to it since its last answer.
     pub(super) unanswered_pings: u8,
-    /// Datagrams of others since the longest pause that had no later beat of it.
+    /// Datagrams of other members that contained no later beat of it, received once it had been suspected for the
+    /// longest pause.
     pub(super) confirmations: usize,
-    /// Until when it is claimed alive since a suspicion was refuted.
+    /// Until when gossip claims it as unsuspected because a suspicion was refuted.
     pub(super) announce_refutation_until: MonotonicTime,
 }
 
 impl Member {
-    /// A member that has sent nothing, known since `now`.
+    /// A member from which nothing has been received; `now` stands in for the time of its beat 0.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Member { first_beat_at: now, ..Member::default() }
     }
@@ -70,7 +72,7 @@
         self.state() == MemberState::Alive
     }
 
-    /// When its latest known beat was.
+    /// The time of its latest known beat.
     pub(super) fn last_alive_at(&self) -> MonotonicTime {
         self.first_beat_at + self.time_since_first_beat()
     }
@@ -84,23 +86,23 @@
         Heartbeat { incarnation: self.incarnation, beat: self.beat, left: self.left }
     }
 
-    /// Whether this gateway has pings to it without an answer, or anybody suspects it.
+    /// Whether a ping of this gateway to it is unanswered, or any member suspects it.
     pub(super) fn is_silent(&self) -> bool {
         self.unanswered_pings > 0 || self.suspected_since.is_some()
     }
 
-    /// Whether the last ping to it has had the time to be answered.
+    /// Whether the last ping to it is older than [`PING_TIMEOUT`].
     pub(super) fn last_ping_timed_out(&self, now: MonotonicTime) -> bool {
         now >= self.last_ping_at + PING_TIMEOUT
     }
 
-    /// Whether its state changed less than this span ago.
+    /// Whether its state changed less than `span` ago, in its current incarnation.
     pub(super) fn changed_within(&self, now: MonotonicTime, span: Duration) -> bool {
         self.state_changed_at.is_some_and(|changed_at| now < changed_at + span)
     }
 
-    /// Takes the first heartbeat of a new incarnation. It can have begun before this gateway did: beats are dated from
-    /// this one on.
+    /// Applies the first heartbeat of a new incarnation. The incarnation may be older than this gateway, so the times
+    /// of its beats are computed from this heartbeat on.
     pub(super) fn begin_incarnation(&mut self, now: MonotonicTime, heartbeat: Heartbeat) {
         self.incarnation = heartbeat.incarnation;
         self.beat = heartbeat.beat;
@@ -108,7 +110,7 @@
         self.first_beat_at = now.saturating_sub(self.time_since_first_beat());
     }
 
-    /// Takes a later heartbeat of the same incarnation; one that is not later changes nothing.
+    /// Applies a later heartbeat of the same incarnation; one that is not later changes nothing.
     pub(super) fn advance(&mut self, now: MonotonicTime, heartbeat: Heartbeat) {
         if !is_later_beat(heartbeat.beat, self.beat) {
             return;
@@ -119,7 +121,7 @@
         self.first_beat_at = self.first_beat_at.min(first_beat_at);
     }
 
-    /// Moves its beats by the time for which this gateway was itself paused (M2).
+    /// Shifts the times of its beats by a pause of this gateway itself (M2), and clears its suspicion.
     pub(super) fn skip_own_pause(&mut self, paused_for: Duration) {
         self.first_beat_at += paused_for;
         self.clear_suspicion();
@@ -130,7 +132,7 @@
         self.unanswered_pings = 0;
     }
 
-    /// Suspects it since a time, or since an earlier one if it is suspected already.
+    /// Marks it as suspected since `since`, or keeps an earlier time if it is suspected already.
     pub(super) fn suspect_since(&mut self, since: MonotonicTime) {
         let earlier = self.suspected_since.map_or(since, |known| known.min(since));
         self.suspected_since = Some(earlier);
@@ -144,7 +146,7 @@
         self.forget_unanswered_pings();
     }
 
-    /// Clears a suspicion that a sign of life refutes, so that others hear of it.
+    /// Clears a suspicion that a sign of life refutes, and has gossip announce that for [`REFUTATION_ANNOUNCEMENT`].
     pub(super) fn refute_suspicion(&mut self, now: MonotonicTime) {
         self.clear_suspicion();
         self.announce_refutation_until = now + REFUTATION_ANNOUNCEMENT;
@@ -164,13 +166,13 @@
         self.declared_dead_by.retain(|suspector| *suspector != reporter);
     }
 
-    /// Bytes of memory that it takes beyond its own size.
+    /// Bytes of heap memory that it uses.
     pub(super) fn heap_bytes(&self) -> usize {
         (self.suspected_by.capacity() + self.declared_dead_by.capacity()) * size_of::<u16>()
     }
 }
 
-/// Adds a member to a list of at most [`MAX_SUSPECTORS`]; at the bound it is left out.
+/// Adds a member to a list unless the list already has it or [`MAX_SUSPECTORS`] entries.
 fn push_bounded(members: &mut Vec<u16>, member: u16) {
     if !members.contains(&member) && members.len() < MAX_SUSPECTORS {
         members.push(member);
--- a/crates/cluster/src/failure_detector/probing.rs
+++ b/crates/cluster/src/failure_detector/probing.rs
@@ -1,4 +1,4 @@
-//! Pings: whom to ping next, retries, and probes through other members.
+//! Pings: the choice of the next member to ping, retries, and indirect probes through other members.
 use super::timing::{
     CONCURRENT_PROBERS, DEAD_PROBE_ODDS, FRACTION_STEPS, INDIRECT_PROBERS, INDIRECT_PROBE_TIMEOUT,
     MAX_CLAIMS, MAX_INDIRECT_PROBES, MIN_UNANSWERED_PINGS, PROBE_CHOICES, STALE_AFTER, STALE_LOSS_MARGIN,
@@ -9,7 +9,7 @@
 use larchway::{duration_micros, MonotonicTime};
 use std::time::Duration;
 
-/// A probe of a member at another member's request.
+/// A probe of a member at the request of another member.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct IndirectProbe {
     target: u16,
@@ -18,13 +18,13 @@
 }
 
 impl FailureDetector {
-    /// Sends the ping of the usual round, if it is due.
+    /// Sends the periodic ping if it is due.
     pub(super) fn probe_next(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now < self.next_probe_at {
             return;
         }
         let period = self.settings.period();
-        // Rounds of gateways that started together must not fall together.
+        // The jitter keeps gateways that started together from pinging at the same moments.
         let jitter = (period / 4) * self.random.below(FRACTION_STEPS) as u32 / FRACTION_STEPS as u32;
         self.next_probe_at = now + period * 7 / 8 + jitter;
         if let Some(target) = self.next_probe_target() {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// While some members are suspected, others may have failed too: probes those of which nothing was known for
-    /// longest, and the suspected ones.
+    /// While some members are suspected, others may have failed too: probes those with the oldest known beats, and the
+    /// suspected ones.
     pub(super) fn probe_suspects_and_stale(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let suspects = self.suspects();
         if suspects.is_empty() || now < self.next_stale_probe_at {
@@ -44,7 +44,7 @@
         self.probe_suspects(now, &suspects, outputs);
     }
 
-    /// Probes the stalest of some random members.
+    /// Probes the members with the oldest known beats out of a random choice.
     fn probe_stale_members(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let candidates = self.random_alive_others(MAX_CLAIMS);
         let loss_margin = duration_micros(STALE_AFTER) as f64 * STALE_LOSS_MARGIN * self.ping_loss;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Probes suspected members, from a random one on, as far as datagrams may be sent.
+    /// Probes suspected members, beginning with a random one, until the send budget is used up.
     fn probe_suspects(&mut self, now: MonotonicTime, suspects: &[u16], outputs: &mut Vec<Output>) {
         let others = self.alive_others().count().max(1);
         let share_of_probes = (CONCURRENT_PROBERS / others as f64 * FRACTION_STEPS as f64) as usize;
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Whether a suspected member is to be probed now. `is_chosen`: this gateway is one of the few that probe it.
+    /// Whether to probe a suspected member now. `is_chosen`: whether this gateway was drawn as one of the few that
+    /// probe it in this round.
     fn should_probe_suspect(&self, now: MonotonicTime, target: u16, is_chosen: bool) -> bool {
         let member = self.member(target);
         let mass_failure = self.is_mass_failure();
@@ -94,8 +95,8 @@
         let suspected_for =
             member.suspected_since.map_or(Duration::ZERO, |since| now.saturating_since(since));
         let needs_more_pings = member.unanswered_pings < self.pings_to_suspect();
-        // A member that this gateway has begun to ping is pinged until it is suspected; then it is others' turn. M7:
-        // and once more when the longest pause is over.
+        // Once this gateway has begun to ping a member, it goes on until it suspects the member; after that other
+        // gateways probe it. M7: it is pinged once more when the longest pause is over.
         let has_unanswered_pings = member.unanswered_pings > 0 && needs_more_pings;
         let is_suspected_for_long = suspected_for >= pause / 4 && needs_more_pings;
         let is_unpinged_after_pause = suspected_for >= pause_with_margin
@@ -105,9 +106,9 @@
             || !mass_failure && (is_suspected_for_long || is_unpinged_after_pause)
     }
 
-    /// Retries pings that had no answer in time; before the last retry others are asked to ping the member too.
+    /// Retries pings that timed out; before the last retry, other members are asked to ping the member too.
     pub(super) fn retry_unanswered_pings(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
-        // In a mass failure there is no time for it: others ping the same ones.
+        // In a mass failure there is no time for retries: other gateways ping the same members.
         if self.is_mass_failure() {
             return;
         }
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Pings a member at another's request; a malformed request, or one beyond a bound, is ignored.
+    /// Pings a member at the request of another; ignores a malformed request, one beyond [`MAX_INDIRECT_PROBES`] and
+    /// one for which the send budget does not suffice.
     pub(super) fn start_indirect_probe(
         &mut self,
         now: MonotonicTime,
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Forwards the answer of a member to those at whose request it was probed.
+    /// Forwards the answer of a member to the members that requested a probe of it.
     pub(super) fn finish_indirect_probes(
         &mut self,
         now: MonotonicTime,
@@ -171,14 +173,15 @@
         }
     }
 
-    /// The member to ping in the usual round.
+    /// The target of the next periodic ping.
     fn next_probe_target(&mut self) -> Option<u16> {
         if self.is_mass_failure() {
             if let Some(target) = self.most_recently_alive_candidate() {
                 return Some(target);
             }
         }
-        // M8: each is pinged by its neighbour in the ring of those that are left, whatever chance does.
+        // M8: every other round goes to the next live member by number, so that each live member is pinged regularly,
+        // whatever the random order.
         self.probe_rounds += 1;
         if self.probe_rounds.is_multiple_of(2) {
             if let Some(target) = self.ring_neighbour() {
@@ -188,7 +191,8 @@
         self.next_in_random_order().or_else(|| self.random_other())
     }
 
-    /// Of some random members the one with the latest beat: so that those left in a mass failure hear of each other.
+    /// Out of a random choice of members, the one with the latest beat: in a mass failure it is the most likely to
+    /// answer, so that the survivors learn of each other.
     fn most_recently_alive_candidate(&mut self) -> Option<u16> {
         let candidates = self.random_alive_others(PROBE_CHOICES);
         candidates.into_iter().max_by_key(|number| {
@@ -197,7 +201,7 @@
         })
     }
 
-    /// The next member by number, with wrap-around, that is alive and not silent.
+    /// The next member after this gateway by number, with wrap-around, that is alive and not silent.
     fn ring_neighbour(&self) -> Option<u16> {
         let members = self.members.len();
         let own = usize::from(self.own_member);
@@ -208,7 +212,8 @@
         })
     }
 
-    /// The next member of the random order that is not suspected; now and then also one that is not alive.
+    /// The next live member of the random order that is not suspected; in one of [`DEAD_PROBE_ODDS`] calls, on average,
+    /// a member that is not alive may be returned too.
     fn next_in_random_order(&mut self) -> Option<u16> {
         let probes_dead = self.random.below(DEAD_PROBE_ODDS) == 0;
         for _attempt in 0..2 {
@@ -227,7 +232,7 @@
         None
     }
 
-    /// Any other member: none is left but suspected ones.
+    /// A random other member, for when all others are suspected or not alive; `None` if there is no other.
     fn random_other(&mut self) -> Option<u16> {
         let others: Vec<u16> = self.others().collect();
         (!others.is_empty()).then(|| others[self.random.below(others.len())])
--- a/crates/cluster/src/failure_detector/random.rs
+++ b/crates/cluster/src/failure_detector/random.rs
@@ -1,7 +1,7 @@
 //! Seeded random numbers: the same seed gives the same sequence on every machine.
 use larchway::mix;
 
-/// 2^64 divided by the golden ratio: consecutive counts are spread over all 64 bits.
+/// 2^64 divided by the golden ratio: spreads consecutive counts over all 64 bits.
 const COUNT_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A generator of random numbers.
@@ -16,14 +16,14 @@
         Random { seed, drawn: 0 }
     }
 
-    /// A number from 0 up to `bound`, which is left out; 0 if it is 0.
+    /// A number from 0 to `bound`, exclusive; 0 if `bound` is 0.
     pub(super) fn below(&mut self, bound: usize) -> usize {
         self.drawn += 1;
         let number = mix(mix(self.seed) ^ self.drawn.wrapping_mul(COUNT_MULTIPLIER));
         (number % bound.max(1) as u64) as usize
     }
 
-    /// Shuffles the first `number` elements out of all, at their front.
+    /// Moves `number` randomly chosen elements, in random order, to the front.
     pub(super) fn shuffle_front<T>(&mut self, elements: &mut [T], number: usize) {
         for index in 0..number.min(elements.len()) {
             let other = index + self.below(elements.len() - index);
--- a/crates/cluster/src/failure_detector/report.rs
+++ b/crates/cluster/src/failure_detector/report.rs
@@ -7,48 +7,48 @@
 /// One member that is suspected or not alive.
 #[derive(Debug, Clone, Serialize)]
 pub struct MemberReport {
-    /// Its number.
+    /// The member's number.
     pub member: u16,
-    /// Its state.
+    /// Its state as this gateway knows it.
     #[serde(rename = "verdict")]
     pub state: MemberState,
-    /// Its incarnation; 0: unknown so far.
+    /// Its latest known incarnation; 0 if unknown.
     #[serde(rename = "life")]
     pub incarnation: u16,
-    /// ms since its latest beat that is known.
+    /// ms since its latest known beat.
     pub silent_ms: u64,
-    /// The members that suspect it now.
+    /// Numbers of the members that are known to suspect it now.
     #[serde(rename = "accusers")]
     pub suspected_by: Vec<u16>,
 }
 
-/// The tier as one gateway knows it.
+/// The state of the tier as one gateway knows it.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
     /// The gateway's own number.
     #[serde(rename = "me")]
     pub own_member: u16,
-    /// Its incarnation.
+    /// The gateway's own incarnation.
     #[serde(rename = "life")]
     pub incarnation: u16,
-    /// Members of the configuration.
+    /// The number of configured members.
     pub members: usize,
-    /// Members that are alive, the gateway itself among them.
+    /// The number of members that are alive, including this gateway.
     pub alive: usize,
-    /// Members that are dead.
+    /// The number of members that are dead.
     pub dead: usize,
-    /// Members that have left gracefully.
+    /// The number of members that have left gracefully.
     pub left: usize,
     /// Whether the gateway receives nothing from any other member.
     #[serde(rename = "dark")]
     pub isolated: bool,
-    /// How often it was itself paused.
+    /// How often this gateway itself was paused.
     #[serde(rename = "pauses")]
     pub own_pauses: u64,
-    /// ms for which a member must give no answer now to be considered dead.
+    /// ms without an answer after which a member is considered dead at present.
     #[serde(rename = "bound_ms")]
     pub death_timeout_ms: u64,
-    /// Moving average of the share of own pings that were lost, from 0 to 1.
+    /// Moving average of the share of this gateway's pings that were lost, from 0 to 1.
     #[serde(rename = "lost")]
     pub ping_loss: f64,
     /// Changes of members' states so far.
@@ -60,7 +60,7 @@
     /// Pings and acks received so far.
     #[serde(rename = "heard")]
     pub gossip_received: u64,
-    /// Members that are suspected, dead or have left, 64 at most.
+    /// Members that are suspected, dead or have left; at most 64.
     #[serde(rename = "doubted")]
     pub not_healthy: Vec<MemberReport>,
 }
--- a/crates/cluster/src/failure_detector/send_budget.rs
+++ b/crates/cluster/src/failure_detector/send_budget.rs
@@ -1,18 +1,18 @@
 //! The rate limit of datagrams: a token bucket that may go into debt for answers.
 use larchway::{duration_micros, MonotonicTime};
 
-/// Tokens a second: datagrams sent on average while members are suspected.
+/// Tokens granted per second: the average number of datagrams sent per second while members are suspected.
 const TOKENS_PER_SECOND: f64 = 9.0;
-/// Tokens that the bucket holds at most: datagrams sent at once.
+/// Greatest number of tokens in the bucket: datagrams that may be sent at once.
 const CAPACITY: f64 = 16.0;
-/// Tokens granted beyond the capacity for a mass failure: it is then that all must be probed.
+/// Tokens granted beyond the capacity at the start of a mass failure, in which all members must be probed.
 const MASS_FAILURE_GRANT: f64 = 30.0;
-/// Tokens owed at most: answers are sent in debt, up to this.
+/// Greatest number of tokens owed: answers may be sent in debt up to this.
 const MAX_DEBT: f64 = 9.0;
 /// µs in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The datagrams that may be sent.
+/// Limits the rate at which datagrams are sent.
 #[derive(Debug)]
 pub(super) struct SendBudget {
     tokens: f64,
@@ -25,19 +25,19 @@
         SendBudget { tokens: CAPACITY, refilled_at: now }
     }
 
-    /// Whether so many datagrams may be sent now.
+    /// Whether this number of datagrams may be sent now.
     pub(super) fn allows(&mut self, now: MonotonicTime, datagrams: u8) -> bool {
         self.refill(now);
         self.tokens >= f64::from(datagrams)
     }
 
-    /// Whether an answer may be sent now: one may, beyond the rate, up to the most that is owed.
+    /// Whether an answer may be sent now: allowed without tokens until [`MAX_DEBT`] are owed.
     pub(super) fn allows_answer(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         self.tokens > -MAX_DEBT
     }
 
-    /// Takes the token of a datagram that is sent.
+    /// Takes the token for a datagram that is being sent.
     pub(super) fn take(&mut self, now: MonotonicTime) {
         self.refill(now);
         self.tokens = (self.tokens - 1.0).max(-MAX_DEBT);
@@ -50,7 +50,7 @@
 
     fn refill(&mut self, now: MonotonicTime) {
         let elapsed = duration_micros(now.saturating_since(self.refilled_at)) as f64 / MICROS_PER_SECOND;
-        // What was granted beyond the capacity is used up, not added to.
+        // Tokens granted beyond the capacity can be spent, but the bucket is not refilled above the capacity.
         let capacity = CAPACITY.max(self.tokens);
         self.tokens = (self.tokens + elapsed * TOKENS_PER_SECOND).min(capacity);
         self.refilled_at = now.max(self.refilled_at);
--- a/crates/cluster/src/failure_detector/suspicion.rs
+++ b/crates/cluster/src/failure_detector/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicions, the evidence for and against them, and the changes of members' states that follow.
+//! Suspicions, the evidence for and against them, and the resulting changes of members' states.
 use super::member::{Member, MemberState};
 use super::timing::{
     CONFIRMATIONS_IN_MASS_FAILURE, CONFIRMATIONS_PER_DOUBLING, DECISECOND, DECLARATIONS_NEEDED,
@@ -10,35 +10,35 @@
 use larchway::{duration_micros, MonotonicTime};
 use std::time::Duration;
 
-/// Unanswered pings from which on a member is probed as a suspected one.
+/// Number of unanswered pings from which on a member is probed like a suspected one.
 const PROBED_UNANSWERED_PINGS: u8 = 2;
 
-/// A heartbeat of a member, and how it came here.
+/// A heartbeat of a member, and the member that sent it here.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReportedHeartbeat {
     /// The member whose heartbeat it is.
     pub(super) member: u16,
-    /// The member that sent it.
+    /// The member whose datagram contained it.
     pub(super) reporter: u16,
     pub(super) heartbeat: Heartbeat,
     /// Whether the member reports that it was itself paused.
     pub(super) paused: bool,
 }
 
-/// What it takes now to consider a suspected member dead.
+/// The conditions under which a suspected member is considered dead at present.
 struct DeathCriteria {
-    /// Members that could suspect it: those alive that are not suspected, this gateway among them.
+    /// Number of members that could suspect it: live ones that are not suspected themselves, including this gateway.
     possible_suspectors: usize,
-    /// Members that must suspect it (M1).
+    /// Number of members that must suspect it (M1).
     needed_suspectors: usize,
-    /// Datagrams that must have confirmed the suspicion before own pings decide (M7).
+    /// Number of datagrams without a later beat that are needed before this gateway's own pings suffice (M7).
     needed_confirmations: usize,
-    /// Whether a mass failure leaves no time for own pings to each.
+    /// Whether there is a mass failure, which leaves no time to ping each member from here.
     mass_failure: bool,
 }
 
 impl FailureDetector {
-    /// Members that are suspected, by this gateway or others, or about to be.
+    /// Live members that are suspected by this gateway or others, or that this gateway is about to suspect.
     pub(super) fn suspects(&self) -> Vec<u16> {
         let min_pings = self.pings_to_suspect().min(PROBED_UNANSWERED_PINGS);
         let is_suspect = |number: &u16| {
@@ -51,8 +51,9 @@
 
     /// Whether this gateway suspects a member by its own unanswered pings.
     pub(super) fn suspects_by_own_pings(&self, member: &Member, now: MonotonicTime) -> bool {
-        // In a small tier a suspected member is pinged again as soon as a ping has timed out: the one that is still
-        // on its way must not hide those before it, or two survivors hardly ever suspect at the same time.
+        // In a small tier a suspected member is pinged again as soon as a ping has timed out. Only timed-out pings are
+        // counted: if a ping in flight withdrew the suspicion, two survivors would hardly ever suspect a dead member
+        // at the same time.
         let timed_out_pings =
             member.unanswered_pings.saturating_sub(u8::from(!member.last_ping_timed_out(now)));
         timed_out_pings >= self.pings_to_suspect()
@@ -62,7 +63,7 @@
             && now >= self.suspect_nobody_until
     }
 
-    /// Considers suspected members dead where the criteria are met, and dead ones alive whose beats go on.
+    /// Marks suspected members that meet the criteria as dead, and dead members with recent beats as alive.
     pub(super) fn update_states(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let suspects = self.suspects();
         let criteria = self.death_criteria(suspects.len());
@@ -77,14 +78,14 @@
 
     fn death_criteria(&self, suspects: usize) -> DeathCriteria {
         let mass_failure = self.is_mass_failure();
-        // M1: two suspect it, where there are two that could.
+        // M1: two members must suspect it, if there are two that could.
         let possible_suspectors = 1 + self.alive_others().count().saturating_sub(suspects);
         let suspectors = if mass_failure { SUSPECTORS_NEEDED_IN_MASS_FAILURE } else { SUSPECTORS_NEEDED };
         let confirmations = (CONFIRMATIONS_PER_DOUBLING * self.size_doublings()).ceil() as usize;
         DeathCriteria {
             possible_suspectors,
             needed_suspectors: possible_suspectors.min(suspectors),
-            // In a mass failure there is no time to hear of each from so many.
+            // In a mass failure there is no time to collect that many confirmations for each member.
             needed_confirmations: if mass_failure { 0 } else { confirmations },
             mass_failure,
         }
@@ -100,12 +101,14 @@
     fn meets_death_criteria(&self, now: MonotonicTime, number: u16, criteria: &DeathCriteria) -> bool {
         let member = self.member(number);
         let Some(since) = member.suspected_since else { return false };
-        // M5: a state that has just changed stays. M2, M6: nor is anybody dead to a gateway that cannot know.
+        // M5: a state that changed less than `STATE_HOLD` ago is held. M2, M6: a gateway that was paused or receives
+        // nothing cannot tell that others are dead.
         if member.changed_within(now, STATE_HOLD) || !self.may_declare_death(now) {
             return false;
         }
-        // M7: each gateway pings itself, once more after the longest pause, and in a large tier hears from some others
-        // that they know of nothing later. In a mass failure, or where no answer can be had, it goes by others.
+        // M7: each gateway pings the member itself, once more after the longest pause, and in a large tier some other
+        // members must confirm that they know of no later beat. In a mass failure, or once enough members have declared
+        // the member dead, the evidence of the others decides.
         let suspected_by_own_pings = self.suspects_by_own_pings(member, now);
         let pinged_after_pause = member.last_ping_at >= since + self.longest_pause() + self.timeout_margin()
             && member.last_ping_timed_out(now);
@@ -121,14 +124,15 @@
             || member.declared_dead_by.len() >= DECLARATIONS_NEEDED
     }
 
-    /// Whether this gateway receives enough, and has itself run for long enough, to consider others dead.
+    /// Whether this gateway has received something recently enough, and has run for long enough since a pause of its
+    /// own, to consider others dead.
     fn may_declare_death(&self, now: MonotonicTime) -> bool {
         !self.isolated
             && now >= self.suspect_nobody_until
             && now < self.last_received_at + MAX_SILENCE_FOR_DEATH
     }
 
-    /// Members whose beats went on while their state was held (M5).
+    /// Marks dead members as alive whose beats continued while their state was held (M5).
     fn revive_members_with_recent_beats(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let recent = Duration::from_micros(duration_micros(self.death_timeout()) / 2);
         let should_revive = |number: &u16| {
@@ -162,7 +166,8 @@
         }
     }
 
-    /// Others know of a later incarnation of this gateway than its own: the clock was set back between the two.
+    /// Moves this gateway to a later incarnation if a member claims a later one, which happens if the clock was set
+    /// back before this start, or claims that the current one has left though it has not.
     pub(super) fn refute_claim_about_self(&mut self, claimed: Heartbeat) {
         let claims_wrong_leave = claimed.incarnation == self.incarnation && claimed.left && !self.leaving;
         if is_later_incarnation(claimed.incarnation, self.incarnation) || claims_wrong_leave {
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Takes in a heartbeat of a member: what it refutes, and what it says of the member's state.
+    /// Applies a heartbeat of a member: it may refute a suspicion or a death, or report that the member has left.
     pub(super) fn apply_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -196,7 +201,7 @@
         }
         self.count_lost_ping(number);
         self.refute_suspicion(now, number, is_new_incarnation, is_direct);
-        // M3, M5: a new incarnation, or one that reports its own pause, refutes a death at once.
+        // M3, M5: a new incarnation, or a member that reports its own pause, refutes a death at once.
         if is_new_incarnation || reported.paused {
             let revive = |member: &mut Member| {
                 member.dead = false;
@@ -205,20 +210,21 @@
             self.change_state(now, number, revive, outputs);
         }
         if is_new_incarnation {
-            // What was held was the state of another incarnation.
+            // The time until which a state is held applies to the previous incarnation only.
             self.member_mut(number).state_changed_at = None;
         }
         if !is_direct {
             self.count_confirmation(now, number);
         }
-        // The last answers of a member that has left are still on their way, and do not bring it back.
+        // A heartbeat without the leave flag does not bring back a member that has left: its last answers may still be
+        // in flight.
         let member = self.member(number);
         if heartbeat.left && heartbeat.incarnation == member.incarnation && !member.left {
             self.change_state(now, number, |member| member.left = true, outputs);
         }
     }
 
-    /// A member answers: all pings to it but the last count as lost.
+    /// Records an answer of a member: if more than one ping was unanswered, the earlier ones count as a loss.
     fn count_answer(&mut self, number: u16) {
         let unanswered = self.member(number).unanswered_pings;
         if unanswered > 0 {
@@ -228,9 +234,9 @@
         }
     }
 
-    /// M4: a beat from after the first unanswered ping shows that the ping, or its answer, was lost. So does one of
-    /// the same moment: after a pause all that waited is dated like the pings of that turn, and they would count for
-    /// ever neither as lost nor as unanswered.
+    /// M4: a beat after the first unanswered ping shows that the ping, or its answer, was lost. So does a beat of the
+    /// same moment: after a pause of this gateway, queued datagrams get the same time as the pings sent then. Without
+    /// that case such pings would never count as lost nor as unanswered, and a dead member would stay alive.
     fn count_lost_ping(&mut self, number: u16) {
         let member = self.member(number);
         if member.unanswered_pings > 0 && member.last_alive_at() >= member.first_unanswered_ping_at {
@@ -239,7 +245,8 @@
         }
     }
 
-    /// M4: a beat from after the first unanswered ping refutes all who suspect the member.
+    /// M4: clears the suspicion of a member on a beat after it began, an answer of the member itself or a new
+    /// incarnation.
     fn refute_suspicion(
         &mut self,
         now: MonotonicTime,
@@ -255,7 +262,8 @@
         }
     }
 
-    /// Counts a datagram of another member that had nothing later of a suspected one, after the longest pause.
+    /// Counts a datagram of another member as a confirmation if the member has been suspected for longer than the
+    /// longest pause.
     fn count_confirmation(&mut self, now: MonotonicTime, number: u16) {
         let pause_with_margin = self.longest_pause() + PING_TIMEOUT;
         let member = self.member_mut(number);
@@ -264,7 +272,7 @@
         }
     }
 
-    /// Takes in whether `reporter` suspects a member.
+    /// Applies a claim of `reporter` about whether it suspects a member.
     pub(super) fn apply_suspicion(&mut self, now: MonotonicTime, reporter: u16, claim: &MemberClaim) {
         let pause_with_margin = self.longest_pause() + PING_TIMEOUT;
         let Some(member) = self.members.get_mut(usize::from(claim.member)) else { return };
@@ -275,14 +283,14 @@
             ClaimedState::Unsuspected => member.remove_suspector(reporter),
             ClaimedState::SuspectedFor(age) => {
                 let since = now.saturating_sub(u32::from(age) * DECISECOND);
-                // M4: a later beat refutes it.
+                // M4: a later beat that is known here refutes the claim.
                 if member.last_alive_at() <= since {
                     member.suspect_since(since);
                     member.add_suspector(reporter);
                 }
             }
             ClaimedState::Dead => {
-                // M4: no beat since the longest pause is known here.
+                // M4: accepted only if no beat within the longest pause is known here.
                 if now.saturating_since(member.last_alive_at()) >= pause_with_margin {
                     member.suspected_since = member.suspected_since.or(Some(now));
                     member.add_death_declaration(reporter);
--- a/crates/cluster/src/fleet_file.rs
+++ b/crates/cluster/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! The operators' file of the fleet, and the check of its values.
+//! The operators' settings of the fleet, `fleet.json`, and the validation of their values.
 use crate::lease;
 use crate::tiers::SitePlace;
 use schemars::JsonSchema;
@@ -16,30 +16,32 @@
 /// Accepted values of `floor`.
 const FLOOR: RangeInclusive<f64> = 0.0..=1.0;
 
-/// The file of the fleet under `deploy/`. Its schema is printed by `larchway schema fleet`.
+/// Settings of the fleet, in a file under `deploy/`. `larchway schema fleet` prints the schema.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
-    /// ms for which a gateway may stand still without being taken for dead, from 500 to 20000.
+    /// Longest pause of a gateway, in ms, after which it is not considered dead; from 500 to 20000.
     #[serde(default = "pause_ms")]
     pub pause_ms: u64,
-    /// ms between two exchanges with another gateway while nothing is in doubt, from 250 to 10000; half of it while
-    /// something is.
+    /// Time between two periodic exchanges with another gateway, in ms, from 250 to 10000; further exchanges follow
+    /// while a gateway is suspected.
     #[serde(default = "period_ms")]
     pub period_ms: u64,
-    /// Part of its configured share that a gateway may always use, from 0 to 1; the rest is lent among those whose
-    /// sessions with the ensemble live. Without an ensemble nothing can be lent, and each has its whole share.
+    /// Part of its configured share that a gateway may always use, from 0 to 1. The rest is leased to the gateways that
+    /// have a live session with the ensemble. Without an ensemble there are no leases, and each gateway may use its
+    /// whole share.
     #[serde(default = "floor")]
     pub floor: f64,
-    /// ms for which a lease on a share holds after the ensemble was last asked, from 400 to 2000; alike at all
-    /// gateways.
+    /// Time for which a lease on a share lasts after the last request to the ensemble, in ms, from 400 to 2000. Must be
+    /// the same at all gateways.
     #[serde(default = "lease_ms")]
     pub lease_ms: u64,
-    /// Whether gateways tell each other of stores that fail; each still puts a store out by its own requests alone.
+    /// Whether gateways notify each other of failing stores. Each gateway still ejects a store only because of its own
+    /// requests.
     #[serde(rename = "words", default = "health_gossip")]
     pub health_gossip: bool,
-    /// The site, zone and region of each gateway, alike at all gateways. With it, gateways watch each other by site,
-    /// and know how many live elsewhere; without it, all watch all.
+    /// The site, zone and region of each gateway; must be the same at all gateways. If present, gateways monitor each
+    /// other within a site and know how many are alive at each other place; if absent, all monitor all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sites: Option<Vec<SitePlace>>,
 }
@@ -64,15 +66,15 @@
     true
 }
 
-/// Why a file of the fleet cannot be used.
+/// Why the fleet settings are rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum FleetFileError {
-    /// A time is out of its range, ms.
+    /// A time, in ms, is out of its range.
     #[error("{key}: {value} is not from {min} to {max}")]
     OutOfRange {
-        /// Its key in the file.
+        /// The key in the file.
         key: &'static str,
-        /// Its value.
+        /// The rejected value.
         value: u64,
         /// The least value that is accepted.
         min: u64,
@@ -82,7 +84,7 @@
     /// The floor is out of its range.
     #[error("floor: {floor} is not from {} to {}", FLOOR.start(), FLOOR.end())]
     FloorOutOfRange {
-        /// Its value.
+        /// The rejected value.
         floor: f64,
     },
 }
@@ -101,17 +103,17 @@
 }
 
 impl FleetFile {
-    /// The longest time for which a gateway may stand still without being taken for dead.
+    /// The longest pause of a gateway after which it is not considered dead.
     pub(crate) fn longest_pause(&self) -> Duration {
         Duration::from_millis(self.pause_ms)
     }
 
-    /// The time between two exchanges while nothing is in doubt.
+    /// The time between two periodic exchanges.
     pub(crate) fn period(&self) -> Duration {
         Duration::from_millis(self.period_ms)
     }
 
-    /// Checks that each value can be used.
+    /// Checks that each value is in its range.
     ///
     /// # Errors
     ///
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -1,19 +1,20 @@
-//! The share that this gateway may use of what all gateways divide: cold budgets, fills at the origin, health checks.
+//! The share of each divided quota that this gateway may use: slow-start budgets, fills at the origin, health checks.
 //!
-//! Messages between gateways alone cannot distinguish a dead one from one that is partitioned, so what a gateway may
-//! use cannot be taken over because others say so (`docs/design/fleet.md`). A part of its configured share, the floor,
-//! is always its own. The rest of all shares is a pool, divided evenly among the gateways whose ephemeral nodes exist.
-//! The ensemble is the arbiter:
+//! Messages between gateways alone cannot distinguish a dead gateway from a partitioned one, so the share of a
+//! gateway cannot be reassigned because other gateways consider it dead (`docs/design/fleet.md`). A part of its
+//! configured share, the floor, is always its own. The rest of all shares is a pool, divided evenly among the
+//! gateways whose ephemeral nodes exist in the ensemble:
 //!
-//! * L1 A gateway uses the pool only until `lease` after it sent a `sync` that was answered, and its view of the nodes
-//!   then held at least all that existed when it sent it.
+//! * L1 A gateway uses the pool only until `lease` after it sent a `sync` that was answered, if its view then contained
+//!   at least all nodes that existed when the `sync` was sent.
 //! * L2 A gateway whose node was created uses the pool only [`EXPIRY_WAIT`] later: by then every lease granted on a
 //!   view without it has expired.
-//! * L3 A deleted node counts for [`EXPIRY_WAIT`] more: by then every lease of its gateway has expired, however its
-//!   session ended, and whoever ended it. A node that was created and deleted during a disconnection was never seen; so
-//!   after the nodes were read again the pool is used only [`EXPIRY_WAIT`] later, too.
+//! * L3 A deleted node is counted for [`EXPIRY_WAIT`] more: by then every lease of its gateway has expired, however its
+//!   session ended. A node that was created and deleted during a disconnection was never seen; therefore a gateway
+//!   that has read all nodes again uses the pool only [`EXPIRY_WAIT`] later, too.
 //!
-//! So whoever uses the pool is in the view of all who do, and no view is smaller than the number of users.
+//! So each gateway that uses the pool is in the views of all others that use it, and each view counts at least as many
+//! nodes as there are users.
 pub mod nodes;
 
 use larchway::{duration_micros, MonotonicTime, Quotas, Shares};
@@ -24,26 +25,26 @@
 
 pub use nodes::{NodeCounts, MAX_NODES};
 
-/// How long a lease lasts at most, whatever a file says: the wait of L2 holds for the files of all gateways.
+/// Longest duration of a lease, whatever a gateway's file says: the wait of L2 must cover the leases of all gateways.
 pub const MAX_LEASE: Duration = Duration::from_secs(2);
-/// Time after which every lease has expired: the longest lease, and an eighth for clocks that drift.
+/// Time after which every lease has expired: the longest lease, plus an eighth for clock drift.
 pub const EXPIRY_WAIT: Duration = Duration::from_micros(duration_micros(MAX_LEASE) / 8 * 9);
 
-/// The settings of a lease.
+/// Settings of a lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LeaseSettings {
-    /// The part of each configured share that is never lent, from 0 to 1.
+    /// Part of each configured share that is not in the pool, from 0 to 1.
     pub floor: f64,
     /// How long a lease lasts, at most [`MAX_LEASE`].
     pub lease: Duration,
-    /// Time between the creation of the own node and the first use of the pool.
+    /// Time between the creation of this gateway's node and its first use of the pool (L2).
     pub first_use_delay: Duration,
-    /// Time for which a deleted node counts.
+    /// Time for which a deleted node is still counted (L3), at most [`EXPIRY_WAIT`].
     pub deleted_node_hold: Duration,
 }
 
 impl LeaseSettings {
-    /// The settings by the operators' file.
+    /// The settings from the operators' file.
     pub fn from_file(file: &crate::FleetFile) -> Self {
         LeaseSettings {
             floor: file.floor,
@@ -54,34 +55,34 @@
     }
 }
 
-/// The number of gateways by the configuration.
+/// The configured number of gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct ClusterSize {
-    /// All of the tier.
+    /// Gateways of the whole tier.
     pub all: u64,
-    /// Those of the own zone.
+    /// Gateways of this gateway's zone.
     pub own_zone: u64,
-    /// The own zone.
+    /// The index of this gateway's zone.
     pub zone: usize,
 }
 
 /// An event of the session with the ensemble.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// The own node was created under the current session.
+    /// This gateway's node was created in the current session.
     Registered,
-    /// The session has ended, or is about to be closed: the own node is deleted, or will be.
+    /// The session has ended or is about to be closed, so this gateway's node is or will be deleted.
     SessionEnded,
     /// The node of a gateway exists.
     NodeAppeared {
-        /// Its name.
+        /// The name of the node.
         name: String,
-        /// The zone of the gateway.
+        /// The index of the gateway's zone; `usize::MAX` if unknown.
         zone: usize,
     },
-    /// The node of this name is deleted.
+    /// The node with this name was deleted.
     NodeGone(String),
-    /// All nodes are read again: those that do not appear until the end were deleted.
+    /// Reading of all nodes has begun: those that have not appeared by [`Input::RereadComplete`] were deleted.
     RereadStarted,
     /// All nodes have been read.
     RereadComplete,
@@ -95,15 +96,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lease {
     size: ClusterSize,
-    /// When the own node was created.
+    /// When this gateway's node was created in the current session.
     registered_at: Option<MonotonicTime>,
-    /// When the nodes were last read again.
+    /// When the last reading of all nodes began.
     reread_at: MonotonicTime,
-    /// When the last `sync` that was answered was sent.
+    /// When the latest answered `sync` was sent, if the view was complete.
     synced_at: Option<MonotonicTime>,
     /// The gateways' nodes, at most [`MAX_NODES`].
     nodes: Nodes,
-    /// Whether all nodes have been read since the last reading began.
+    /// Whether the last reading of all nodes is complete.
     view_complete: bool,
     /// Nodes that have not appeared since the last reading began, at most [`MAX_NODES`].
     stale: BTreeSet<Arc<str>>,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Takes the number of gateways of a new configuration.
+    /// Applies the number of gateways of a new configuration.
     pub fn configure(&mut self, size: ClusterSize) {
         self.size = size;
     }
@@ -150,25 +151,26 @@
                 }
             }
             Input::Synced(sent_at) => {
-                // L1: the view must hold all nodes that existed when the sync was sent.
+                // L1: the view must contain all nodes that existed when the sync was sent.
                 if self.view_complete && self.registered_at.is_some_and(|created_at| created_at <= sent_at) {
                     self.synced_at = self.synced_at.max(Some(sent_at));
                 }
             }
             Input::Rewound => {
-                // As if the own node had only now been created: the others may have lost sight of it.
+                // Other gateways may have lost this gateway's node from their views, so L2 applies again from now on.
                 self.registered_at = self.registered_at.map(|_| now);
                 self.synced_at = None;
             }
         }
     }
 
-    /// How many nodes count, those deleted less than `hold` ago among them; one of an unknown zone counts for any.
+    /// The number of nodes, including those deleted less than [`LeaseSettings::deleted_node_hold`] ago; nodes of an
+    /// unknown zone are counted in every zone.
     pub fn node_counts(&self, settings: &LeaseSettings, now: MonotonicTime) -> NodeCounts {
         self.nodes.counts(self.size.zone, now, settings.deleted_node_hold)
     }
 
-    /// How many nodes are stored, deleted ones that still count among them; at most [`MAX_NODES`].
+    /// The number of stored nodes, including deleted ones that are still counted; at most [`MAX_NODES`].
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
@@ -178,7 +180,8 @@
         self.nodes.memory_bytes()
     }
 
-    /// The configured share, of what all divide and of what the own zone divides: used where nothing is lent.
+    /// The configured shares of the quotas divided by all gateways and by those of the zone; they apply where no pool
+    /// is leased.
     pub fn configured_share(&self) -> Shares {
         Shares {
             of_all: 1.0 / self.size.all.max(1) as f64,
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Until when the pool may be used, and the shares that the gateway may use until then and afterwards.
+    /// The shares that the gateway may use until the lease expires, and those from then on.
     pub fn share(&self, settings: &LeaseSettings, now: MonotonicTime) -> Quotas {
         let configured = self.configured_share();
         let floor = Shares {
@@ -207,7 +210,7 @@
         now < self.expires_at(settings, now)
     }
 
-    /// Until when the pool may be used, [`MonotonicTime::MIN`] if it may not be.
+    /// Until when the pool may be used; [`MonotonicTime::MIN`] if it may not be used.
     fn expires_at(&self, settings: &LeaseSettings, now: MonotonicTime) -> MonotonicTime {
         let is_first_use_delay_over =
             self.registered_at.is_some_and(|created_at| created_at + settings.first_use_delay <= now);
--- a/crates/cluster/src/lease/nodes.rs
+++ b/crates/cluster/src/lease/nodes.rs
@@ -1,19 +1,21 @@
-//! The ephemeral nodes of all gateways, counted by zone, with deleted ones ordered by the time of their deletion: a
-//! created or deleted node costs O(log n), and a count costs the nodes that have expired since the last input.
+//! The ephemeral nodes of all gateways, counted by zone, with deleted ones ordered by the time of their deletion.
+//! Adding or deleting a node takes O(log n); a count walks only over the nodes that have expired since the last
+//! input.
 use super::EXPIRY_WAIT;
 use larchway::MonotonicTime;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nodes stored at most; those beyond are only counted. 12,000 gateways have to fit, together with nodes under new
-/// names that replace others which still count. A node takes some 200 bytes, so that all of them take some 3 MB.
+/// Greatest number of nodes stored; further ones are only counted. 12,000 gateways must fit, together with
+/// deleted nodes that are still counted after their gateways have created nodes under new names. A node takes
+/// about 200 bytes, so all of them take about 3 MB.
 pub const MAX_NODES: usize = 16_384;
 
-/// The zone of a node that does not name one; it may be any.
+/// The zone of a node that does not name one: the gateway may be in any zone.
 const UNKNOWN_ZONE: usize = usize::MAX;
 
-/// Bytes of the two reference counts that stand before a shared name.
+/// Size of the two reference counts that an `Arc` stores in front of the name, in bytes.
 const ARC_HEADER_BYTES: usize = 2 * size_of::<usize>();
 
 /// A node that exists, or was deleted less than [`EXPIRY_WAIT`] ago.
@@ -31,25 +33,26 @@
     zone: usize,
 }
 
-/// How many nodes count.
+/// Numbers of nodes, including deleted ones that are still counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeCounts {
-    /// In all zones.
+    /// Nodes in all zones.
     pub all: u64,
-    /// In the zone asked for, and those whose zone is not known.
+    /// Nodes in the requested zone, plus those whose zone is unknown.
     pub in_zone: u64,
 }
 
-/// The nodes of all gateways, by names of any ordered type: a test counts their comparisons.
+/// The nodes of all gateways. The type of the names is a parameter so that a test can count comparisons.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Nodes<Name = Arc<str>> {
-    /// By name, at most [`MAX_NODES`].
+    /// The nodes by name, at most [`MAX_NODES`].
     by_name: BTreeMap<Name, Node>,
-    /// How many of `by_name` are in each zone; no zone stands here with 0.
+    /// The number of nodes in `by_name` for each zone; zones without nodes have no entry.
     by_zone: BTreeMap<usize, u64>,
-    /// Those of `by_name` that are deleted.
+    /// The nodes in `by_name` that are deleted.
     deletions: BTreeSet<Deletion<Name>>,
-    /// Nodes beyond [`MAX_NODES`]: one that is left out would be missing in the division, so it is counted.
+    /// Number of nodes beyond [`MAX_NODES`]. They are counted: without them each gateway would take too large a part of
+    /// the pool.
     not_stored: u64,
 }
 
@@ -65,7 +68,7 @@
 }
 
 impl Nodes {
-    /// Bytes of memory that the nodes take, the slack of the ordered maps left out.
+    /// Bytes of memory that the nodes take, without the unused capacity of the ordered maps.
     pub fn memory_bytes(&self) -> usize {
         let entry = size_of::<Arc<str>>() + size_of::<Node>();
         let name = |name: &Arc<str>| ARC_HEADER_BYTES + name.len();
@@ -75,22 +78,22 @@
 }
 
 impl<Name: Ord + Clone> Nodes<Name> {
-    /// How many are stored.
+    /// The number of stored nodes.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether none is stored.
+    /// Whether no node is stored.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// The names of all that are stored.
+    /// The names of all stored nodes.
     pub fn names(&self) -> impl Iterator<Item = Name> + '_ {
         self.by_name.keys().cloned()
     }
 
-    /// Adds a node that exists.
+    /// Adds an existing node, or replaces the stored one of the same name.
     pub fn insert(&mut self, name: Name, zone: usize) {
         let stored = self.remove(&name);
         if stored || self.by_name.len() < MAX_NODES {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Marks a node as deleted. It counts for [`EXPIRY_WAIT`] more.
+    /// Marks a node as deleted. It is counted for [`EXPIRY_WAIT`] more.
     pub fn mark_deleted(&mut self, now: MonotonicTime, name: &Name) {
         let Some(node) = self.by_name.get_mut(name).filter(|node| node.deleted_at.is_none()) else { return };
         node.deleted_at = Some(now);
@@ -117,7 +120,7 @@
         }
     }
 
-    /// How many nodes exist, or were deleted less than `hold` ago; `hold` is at most [`EXPIRY_WAIT`].
+    /// The number of nodes that exist or were deleted less than `hold` ago; `hold` must be at most [`EXPIRY_WAIT`].
     pub fn counts(&self, zone: usize, now: MonotonicTime, hold: Duration) -> NodeCounts {
         let in_zone = |of: usize| of == zone || of == UNKNOWN_ZONE;
         let count_in = |zone: usize| self.by_zone.get(&zone).copied().unwrap_or(0);
--- a/crates/cluster/src/store_health.rs
+++ b/crates/cluster/src/store_health.rs
@@ -1,21 +1,21 @@
-//! Gossip about the health of stores: one gateway observes that a store fails, or answers again, and all are notified.
+//! Gossip about the health of stores: a gateway that observes a store failing, or answering again, notifies all others.
 //!
 //! A report lowers the outlier threshold of the gateways that receive it; each still ejects a store by its own requests
-//! alone (`docs/design/fleet.md`, W1). A gateway forwards a report to a few others the first time it receives it, so a
-//! tier knows within some hops, and each gateway sends the same whatever their number.
+//! alone (`docs/design/fleet.md`, W1). A gateway forwards a report to a few others when it first receives it, so the
+//! report reaches the whole tier within a few hops, and the datagrams per gateway do not grow with the tier.
 use larchway::{MonotonicTime, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Time within which a further report of the same state of the same store is a duplicate.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
-/// Reports remembered at most; at the bound the oldest is dropped.
+/// Greatest number of reports remembered; beyond it the oldest is dropped.
 const MAX_REPORTS: usize = 256;
-/// Hops after which a report is not forwarded.
+/// Number of hops after which a report is not forwarded.
 const MAX_HOPS: u8 = 8;
 /// Bytes of an encoded report: store (8), state (1), hops (1), origin (2).
 const REPORT_BYTES: usize = 12;
-/// Reports that a datagram holds at most.
+/// Greatest number of reports in a datagram.
 pub const MAX_REPORTS_PER_DATAGRAM: usize = crate::wire::MAX_BODY_BYTES / REPORT_BYTES;
 
 /// The health of a store, as a gateway observed it.
@@ -30,13 +30,13 @@
 /// One observation of a store's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthReport {
-    /// The store.
+    /// The observed store.
     pub store: ServerId,
-    /// Its health.
+    /// The observed health.
     pub health: StoreHealth,
     /// How many gateways have forwarded the report.
     pub hops: u8,
-    /// The member that observed it.
+    /// The number of the member that observed it.
     pub origin: u16,
 }
 
@@ -48,7 +48,7 @@
         bytes.extend_from_slice(&self.origin.to_be_bytes());
     }
 
-    /// `None` if the state is unknown. `bytes` are [`REPORT_BYTES`] long.
+    /// Decodes [`REPORT_BYTES`] bytes; `None` if the health state is unknown.
     fn decode(bytes: &[u8]) -> Option<HealthReport> {
         let health = match bytes[8] {
             0 => StoreHealth::Failing,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Encodes the body of a datagram; reports beyond [`MAX_REPORTS_PER_DATAGRAM`] are left out.
+/// Encodes the body of a datagram; omits reports beyond [`MAX_REPORTS_PER_DATAGRAM`].
 pub fn encode(reports: &[HealthReport]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(reports.len() * REPORT_BYTES);
     for report in reports.iter().take(MAX_REPORTS_PER_DATAGRAM) {
@@ -70,7 +70,7 @@
     bytes
 }
 
-/// Decodes the body of a datagram; `None` if any report in it is truncated or of an unknown state.
+/// Decodes the body of a datagram; `None` if any report is truncated or has an unknown health state.
 pub fn decode(body: &[u8]) -> Option<Vec<HealthReport>> {
     if !body.len().is_multiple_of(REPORT_BYTES) {
         return None;
@@ -78,21 +78,21 @@
     body.chunks_exact(REPORT_BYTES).map(HealthReport::decode).collect()
 }
 
-/// The reports that one gateway knows of, and those that it has yet to forward.
+/// The recent reports that one gateway knows, and those that it has yet to send.
 #[derive(Debug, Default)]
 pub struct HealthGossip {
-    /// When each was first received within its lifetime, at most [`MAX_REPORTS`].
+    /// When each report was first received or observed, by store and health; at most [`MAX_REPORTS`] entries.
     first_received: BTreeMap<(ServerId, StoreHealth), MonotonicTime>,
-    /// Reports to send, at most [`MAX_REPORTS_PER_DATAGRAM`]; at the bound further ones are dropped.
+    /// Reports to send, at most [`MAX_REPORTS_PER_DATAGRAM`]; further ones are dropped.
     pending: Vec<HealthReport>,
-    /// Reports of this gateway's own observations so far.
+    /// Number of this gateway's own observations so far.
     pub originated: u64,
-    /// Reports received for the first time so far.
+    /// Number of new reports received so far; duplicates are not counted.
     pub received: u64,
 }
 
 impl HealthGossip {
-    /// Records that this gateway, the member `origin`, observed a store's health itself.
+    /// Records a store's health that this gateway, the member `origin`, observed itself.
     pub fn observe(&mut self, now: MonotonicTime, origin: u16, store: ServerId, health: StoreHealth) {
         if self.record(now, store, health) {
             self.originated += 1;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Records reports of another gateway. Returns those that are new, and enqueues them for forwarding.
+    /// Records reports of another gateway, enqueues the new ones for forwarding and returns them.
     pub fn receive(&mut self, now: MonotonicTime, reports: Vec<HealthReport>) -> Vec<HealthReport> {
         let mut new = reports;
         new.retain(|report| self.record(now, report.store, report.health));
@@ -111,12 +111,12 @@
         new
     }
 
-    /// Takes the reports that are to be sent now.
+    /// Removes and returns the reports to send now.
     pub fn take_pending(&mut self) -> Vec<HealthReport> {
         std::mem::take(&mut self.pending)
     }
 
-    /// Remembers a report; returns whether it is new.
+    /// Records a report; returns whether it is new.
     fn record(&mut self, now: MonotonicTime, store: ServerId, health: StoreHealth) -> bool {
         let last = self.first_received.get(&(store, health));
         if last.is_some_and(|received_at| now < *received_at + REPORT_LIFETIME) {
@@ -129,7 +129,7 @@
         true
     }
 
-    /// Drops expired reports, and the oldest of those that are left.
+    /// Removes expired reports, and the oldest of the remaining ones.
     fn evict_oldest(&mut self, now: MonotonicTime) {
         self.first_received.retain(|_, received_at| now < *received_at + REPORT_LIFETIME);
         let oldest = self.first_received.iter().min_by_key(|(_, received_at)| **received_at);
--- a/crates/cluster/src/store_health/tests.rs
+++ b/crates/cluster/src/store_health/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The moment so many microseconds after the earliest one.
+/// A point in time, in µs after the earliest one.
 fn at(micros: u64) -> MonotonicTime {
     MonotonicTime::from_micros(micros)
 }
--- a/crates/cluster/src/tiers.rs
+++ b/crates/cluster/src/tiers.rs
@@ -1,11 +1,11 @@
-//! Membership in tiers: which gateways of the own site live, and how many live at each other site of the zone, in each
-//! other zone of the region and in each region.
+//! Tiered membership: which gateways of this gateway's site are alive, and how many are alive at each other site of the
+//! zone, in each other zone of the region and in each region.
 //!
-//! The members of a site watch each other with the failure detector. They elect a representative by a lease
-//! ([`election`]); the representatives of a zone's sites elect that of the zone, and those of a region's zones that
-//! of the region. Representatives report numbers upwards, and publish tables of them that come down to every gateway.
-//! What one gateway sends, holds and computes does not depend on the size of the fleet, but for the list of places.
-//! See `docs/design/membership-tiers.md`, T1 to T10.
+//! The members of a site monitor each other with the failure detector. They elect a representative, which holds a
+//! lease ([`election`]); the representatives of a zone's sites elect the zone's representative, and those of a
+//! region's zones the region's. Representatives report the numbers of live gateways upwards and publish tables of
+//! them, which are sent down to every gateway. Traffic, memory and computation per gateway do not depend on the size
+//! of the fleet, except for the list of places. See `docs/design/membership-tiers.md`, T1 to T10.
 mod candidacy;
 mod contacts;
 mod count;
@@ -46,53 +46,53 @@
     Tick,
     /// A datagram of one of the kinds of this module was received.
     Received {
-        /// Its kind.
+        /// The kind of message.
         kind: MessageKind,
-        /// The member that sent it.
+        /// The number of the member that sent it.
         from: u16,
-        /// Its body.
+        /// The body of the message.
         body: &'a [u8],
     },
     /// This gateway begins its graceful shutdown.
     Leave,
 }
 
-/// An action to take, or a change to report. Members have their numbers of the configuration.
+/// An action to take, or a change to report. Members are identified by their numbers in the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Send a message.
     Send {
-        /// The member that it goes to.
+        /// The recipient's member number.
         to: u16,
-        /// Its kind.
+        /// The kind of message.
         kind: MessageKind,
-        /// Its body.
+        /// The encoded body.
         body: Vec<u8>,
     },
-    /// The state of a member of the own site has changed.
+    /// The state of a member of this gateway's site has changed.
     StateChanged {
-        /// The member.
+        /// The member's number.
         member: u16,
         /// Its new state.
         state: MemberState,
     },
-    /// This gateway represents its group of this tier now.
+    /// This gateway has become the representative of its group of a tier.
     Elected {
-        /// The tier.
+        /// The tier of the group.
         tier: Tier,
         /// The term of its lease.
         term: u32,
     },
-    /// It does no longer.
+    /// This gateway no longer represents its group of a tier.
     Resigned {
-        /// The tier.
+        /// The tier of the group.
         tier: Tier,
     },
-    /// This gateway was itself paused for this span.
+    /// This gateway itself was paused for this long.
     Paused(Duration),
     /// This gateway receives nothing from any other member of its site.
     Isolated,
-    /// It receives datagrams of its site again.
+    /// This gateway receives datagrams of its site again after [`Output::Isolated`].
     Reconnected,
 }
 
@@ -101,31 +101,31 @@
 pub struct TieredMembership {
     topology: Arc<Topology>,
     own_member: u16,
-    /// The own group of each tier.
+    /// The number of this gateway's group in each tier.
     own_groups: [u16; TIERS],
-    /// The place of the own group among its siblings.
+    /// The index of that group among its siblings, in each tier.
     own_places: [usize; TIERS],
-    /// Of the members of the own site, by their places in it.
+    /// The failure detector of this gateway's site; its member numbers are indices within the site.
     detector: FailureDetector,
     is_isolated: bool,
     is_leaving: bool,
-    /// By tier, the election of the own group's representative.
+    /// By tier, the election of the representative of this gateway's group.
     elections: [Election; TIERS],
-    /// By tier, the term of the lease that was held at the last input.
+    /// By tier, the term of the lease that this gateway held at the last input.
     held_terms: [Option<u32>; TIERS],
-    /// By tier, the representatives of the groups beside the own one.
+    /// By tier, the known representatives of the sibling groups.
     contacts: [Contacts; TIERS],
-    /// By tier, the reports of the groups beside the own one, while this gateway represents the group above.
+    /// By tier, the reports of the sibling groups; used while this gateway represents the group above.
     reports: [Reports; TIERS],
-    /// By tier, the numbers of the groups beside the own one.
+    /// By tier, the table of the sibling groups.
     tables: [TableState; TIERS],
-    /// By tier, the next report of the own group, while this gateway represents it.
+    /// By tier, the next report of this gateway's group; used while this gateway represents it.
     outgoing: [OutgoingReport; TIERS],
     datagrams_sent: u64,
     bytes_sent: u64,
 }
 
-/// The reports of one group at its representative.
+/// The reports that the representative of a group sends.
 #[derive(Debug, Clone, Copy, Default)]
 struct OutgoingReport {
     version: Version,
@@ -134,8 +134,8 @@
 }
 
 impl TieredMembership {
-    /// The membership of a gateway that has just started. `seed` has to differ with each start. `None` if the topology
-    /// does not have this member.
+    /// The membership of a gateway that has just started; `None` if the topology does not contain this member. `seed`
+    /// must differ at each start.
     pub fn new(
         now: MonotonicTime,
         settings: FleetFile,
@@ -179,12 +179,12 @@
         })
     }
 
-    /// Takes new settings of the failure detector; the state of the members stays.
+    /// Replaces the settings of the failure detector; the state of the members is kept.
     pub fn configure(&mut self, settings: FleetFile) {
         self.detector.configure(settings);
     }
 
-    /// Handles an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `outputs`.
     pub fn handle(&mut self, now: MonotonicTime, input: Input<'_>, outputs: &mut Vec<Output>) {
         self.update_held_leases(now, outputs);
         match input {
@@ -205,7 +205,7 @@
         self.detector.next_due()
     }
 
-    /// Other members of the own site that live, at most `number`, chosen at random.
+    /// Other live members of this gateway's site, chosen at random; at most `number`.
     pub fn random_alive_others(&mut self, number: usize) -> Vec<u16> {
         let chosen = self.detector.random_alive_others(number);
         chosen.into_iter().filter_map(|index| self.member_at(index)).collect()
@@ -216,7 +216,7 @@
         self.datagrams_sent
     }
 
-    /// Bytes of datagrams sent so far, those of the envelopes among them.
+    /// Bytes of datagrams sent so far, including the envelopes.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
@@ -258,7 +258,7 @@
     }
 }
 
-/// The election of a group; `own` is the member's number and the place of its vote.
+/// The election of a group; `own` is this gateway's member number and its index among the voters.
 fn new_election(
     now: MonotonicTime,
     topology: &Topology,
@@ -272,7 +272,7 @@
     if tier == Tier::Site {
         timing.renewal_interval = SITE_RENEWAL;
     } else if voters == 1 {
-        // The lease of the only group below excludes all others already.
+        // The lease of the only group below already ensures that there is one voter at a time.
         timing.vote_delay = Duration::ZERO;
     }
     let seed = mix(seed ^ tier.index() as u64);
--- a/crates/cluster/src/tiers/candidacy.rs
+++ b/crates/cluster/src/tiers/candidacy.rs
@@ -1,9 +1,9 @@
-//! A campaign for a lease, or the lease that came of it.
+//! A gateway's campaign for a lease, and the lease after a majority has granted it.
 use super::message::Request;
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// Rounds whose time of sending is remembered: a grant of an earlier one is of no use any more.
+/// Number of rounds whose sending times are remembered; grants of earlier rounds are ignored.
 const REMEMBERED_ROUNDS: usize = 8;
 
 /// When the request of a round was first sent.
@@ -13,23 +13,23 @@
     sent_at: MonotonicTime,
 }
 
-/// A campaign for a lease, or the lease that came of it.
+/// A campaign for a lease, or the lease after a majority has granted it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Candidacy {
     pub(super) term: u32,
     pub(super) started_at: MonotonicTime,
-    /// Whether a majority has granted it.
+    /// Whether a majority has granted the lease.
     pub(super) is_elected: bool,
     pub(super) next_request_at: MonotonicTime,
-    /// The latest rounds, [`REMEMBERED_ROUNDS`] at most; the earliest is dropped.
+    /// The latest rounds, at most [`REMEMBERED_ROUNDS`]; the earliest is dropped.
     rounds: Vec<Round>,
     next_round: u32,
-    /// By voter, when the latest request was sent that it granted; [`MonotonicTime::MIN`] for none.
+    /// By voter, when the latest request that it granted was sent; [`MonotonicTime::MIN`] if it granted none.
     granted_at: Vec<MonotonicTime>,
 }
 
 impl Candidacy {
-    /// A campaign that begins; `first_round` differs from those of the campaign before.
+    /// A new campaign; `first_round` must differ from the rounds of the previous campaign.
     pub(super) fn new(now: MonotonicTime, term: u32, voters: usize, first_round: u32) -> Self {
         Candidacy {
             term,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The next request: the same round again while it is a campaign, a new one for each renewal.
+    /// The next request: repeats the same round during the campaign, and begins a new round for each renewal.
     pub(super) fn next_request(&mut self, now: MonotonicTime, interval: Duration) -> Request {
         self.next_request_at = now + interval;
         if self.is_elected || self.rounds.is_empty() {
@@ -56,7 +56,7 @@
         Request { term: self.term, round, is_renewal: self.is_elected }
     }
 
-    /// A voter granted the request of a round. One that is not remembered counts for nothing.
+    /// Records that a voter granted the request of a round; ignores rounds that are no longer remembered.
     pub(super) fn confirm(&mut self, voter: usize, round: u32) {
         let sent = self.rounds.iter().find(|known| known.number == round);
         if let (Some(sent), Some(granted_at)) = (sent, self.granted_at.get_mut(voter)) {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Until when the lease holds: a lease's time after the latest request that a majority has granted, or one sent
-    /// later. [`MonotonicTime::MIN`] without a majority.
+    /// Until when the lease is held: `lease` after the latest time such that a majority has granted a request sent then
+    /// or later. [`MonotonicTime::MIN`] without a majority.
     pub(super) fn lease_until(&self, lease: Duration) -> MonotonicTime {
         let mut granted_at = self.granted_at.clone();
         granted_at.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/cluster/src/tiers/contacts.rs
+++ b/crates/cluster/src/tiers/contacts.rs
@@ -1,21 +1,21 @@
-//! Which gateway represents each of some groups, as far as is known: to whom messages for them go.
+//! The known representatives of the sibling groups of one tier: the recipients of messages to these groups.
 use super::timing::CONTACT_TIMEOUT;
 use super::topology::{Tier, Topology};
 use larchway::{mix, MonotonicTime};
 
-/// A representative, and when a message of it came or it was named.
+/// A representative, and when it last sent a message or was last named by another gateway.
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     member: u16,
     received_at: MonotonicTime,
 }
 
-/// The representatives of the groups that stand beside the own one, by their places; as many as those groups.
+/// The known representatives of the sibling groups by index; one entry per group.
 #[derive(Debug)]
 pub(super) struct Contacts {
     tier: Tier,
     contacts: Vec<Option<Contact>>,
-    /// Changes with each choice of a member at random.
+    /// State of the random choice of members; changes with each choice.
     random_state: u64,
 }
 
@@ -24,16 +24,16 @@
         Contacts { tier, contacts: vec![None; groups], random_state: mix(seed ^ tier.index() as u64) }
     }
 
-    /// Notes that a member represents the group at this place: it said so, or another gateway named it. Returns
-    /// whether another one, or none, was known before.
+    /// Records that a member represents the group at this index, by its own message or because another gateway named
+    /// it. Returns whether no representative or a different one was known before.
     pub(super) fn record(&mut self, now: MonotonicTime, place: usize, member: u16) -> bool {
         let Some(contact) = self.contacts.get_mut(place) else { return false };
         let before = contact.replace(Contact { member, received_at: now });
         before.is_none_or(|before| before.member != member)
     }
 
-    /// To whom a message for the group at this place goes: its representative if a message of it came of late, else
-    /// some member, who names the representative.
+    /// The recipient of a message to the group at this index: its representative if known within [`CONTACT_TIMEOUT`],
+    /// else a random member, which answers with the name of the representative.
     pub(super) fn recipient(
         &mut self,
         now: MonotonicTime,
--- a/crates/cluster/src/tiers/detection.rs
+++ b/crates/cluster/src/tiers/detection.rs
@@ -1,12 +1,12 @@
-//! The failure detector inside the site: members have the numbers of their places there, datagrams have kinds of their
-//! own, so that gateways without tiers do not take them for theirs.
+//! The failure detector within the site. Member numbers are indices within the site. Its datagrams have kinds of their
+//! own, so that gateways without tiers do not process them as messages of a whole-fleet failure detector.
 use super::topology::Tier;
 use super::{Output, TieredMembership};
 use crate::failure_detector::{Input as DetectorInput, Output as DetectorOutput};
 use crate::wire::MessageKind;
 use larchway::MonotonicTime;
 
-/// The kind within a site for one of the failure detector.
+/// The message kind within a site for a kind of the failure detector.
 fn site_kind(kind: MessageKind) -> MessageKind {
     match kind {
         MessageKind::Ping => MessageKind::SitePing,
@@ -16,7 +16,7 @@
     }
 }
 
-/// The kind of the failure detector for one within a site.
+/// The failure detector's message kind for a kind within a site; `None` for other messages.
 fn detector_kind(kind: MessageKind) -> Option<MessageKind> {
     match kind {
         MessageKind::SitePing => Some(MessageKind::Ping),
@@ -27,12 +27,12 @@
 }
 
 impl TieredMembership {
-    /// The members of the own site.
+    /// The members of this gateway's site.
     pub(super) fn site_members(&self) -> &[u16] {
         self.topology.children(Tier::Site, self.own_groups[Tier::Site.index()])
     }
 
-    /// The member at a place of the own site.
+    /// The member number at an index of this gateway's site.
     pub(super) fn member_at(&self, index: u16) -> Option<u16> {
         self.site_members().get(usize::from(index)).copied()
     }
@@ -45,7 +45,7 @@
         self.detect(now, DetectorInput::Leave, outputs);
     }
 
-    /// Hands on what a member of the own site sent; what others send is ignored.
+    /// Passes a message of a member of this gateway's site to the failure detector; ignores messages of other members.
     pub(super) fn detect_received(
         &mut self,
         now: MonotonicTime,
--- a/crates/cluster/src/tiers/election.rs
+++ b/crates/cluster/src/tiers/election.rs
@@ -1,8 +1,8 @@
-//! The election of a group's representative by lease: one gateway's part in it, as a voter and as a candidate.
+//! The election of a group's representative by lease, as run by one gateway in its roles of voter and candidate.
 //!
-//! A lease is granted by a majority of the configured voters, without stable storage: a voter that has just started
-//! does not vote until all that it may have granted before has run out. See `docs/design/membership-tiers.md`, T1 to
-//! T3.
+//! A lease is granted by a majority of the configured voters. Voters have no stable storage: a voter that has just
+//! started does not vote until any grant that it may have given before has expired. See
+//! `docs/design/membership-tiers.md`, T1 to T3.
 mod voting;
 
 use super::candidacy::Candidacy;
@@ -17,100 +17,102 @@
 pub enum Input {
     /// Time has passed.
     Tick {
-        /// The place of this gateway among those that may stand, if it may: the first one begins.
+        /// This gateway's rank among the possible candidates, the lowest of which begins; `None` if it may not be one.
         rank: Option<usize>,
     },
-    /// A candidate asks for the lease, or renews it.
+    /// A candidate requests the lease, or its renewal.
     Request {
         /// The candidate's member number.
         candidate: u16,
-        /// What it asks for.
+        /// The request.
         request: Request,
     },
     /// A voter granted a request of this gateway.
     Grant {
-        /// The voter's place in the group.
+        /// The voter's index in the group.
         voter: usize,
-        /// The term.
+        /// The term granted.
         term: u32,
         /// The round of the request.
         round: u32,
     },
-    /// A voter refused a request of this gateway and knows of this term.
+    /// A voter refused a request of this gateway.
     Refused {
         /// The latest term that the voter knows.
         term: u32,
     },
-    /// This term is in use beyond the group: what this gateway holds under an earlier one is worth nothing there.
+    /// This term is known outside of the group's voters, where messages under a lease of this term or an earlier one
+    /// are ignored.
     TermObserved {
-        /// The term.
+        /// The term in use.
         term: u32,
     },
 }
 
-/// What is to be done.
+/// An action to take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Send this request to all other voters.
     SendRequest(Request),
     /// Grant a request to this candidate.
     Grant {
-        /// The candidate.
+        /// The candidate's member number.
         candidate: u16,
-        /// The term.
+        /// The term granted.
         term: u32,
         /// The round of the request.
         round: u32,
     },
-    /// Tell this candidate of the latest term that is known here.
+    /// Send this candidate a refusal.
     Refuse {
-        /// The candidate.
+        /// The candidate's member number.
         candidate: u16,
-        /// The term.
+        /// The latest term that is known here.
         term: u32,
     },
 }
 
-/// The holder of the lease, as far as is known here.
+/// The holder of the lease as one gateway knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KnownHolder {
     /// Its member number.
     pub member: u16,
     /// The term of its lease.
     pub term: u32,
-    /// When its latest renewal came.
+    /// When its latest renewal was received.
     pub received_at: MonotonicTime,
 }
 
-/// One gateway's part in the election of one group.
+/// The state of one gateway in the election of one group's representative.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Election {
     timing: ElectionTiming,
     own_member: u16,
-    /// The own place among the voters.
+    /// This gateway's index among the voters.
     own_voter: usize,
     voters: usize,
-    /// The latest term that is known.
+    /// The latest known term.
     highest_term: u32,
-    /// The latest term that this gateway has granted to another, or held itself.
+    /// The latest term that this gateway granted to another candidate, or held itself.
     highest_granted: u32,
-    /// From when on this gateway votes.
+    /// The time from which on this gateway votes.
     votes_from: MonotonicTime,
     granted: Option<Granted>,
     candidacy: Option<Candidacy>,
-    /// When the own campaign begins, unless somebody else's does before.
+    /// When this gateway begins a campaign, unless it grants another candidate's request before.
     campaign_at: Option<MonotonicTime>,
     known_holder: Option<KnownHolder>,
-    /// Campaigns so far, for the choice of rounds and waits.
+    /// Number of campaigns so far; varies round numbers and random delays.
     campaigns: u32,
-    /// Campaigns since a lease was last held or renewed here that found no majority.
+    /// Number of campaigns without a majority since this gateway was last elected or last received a renewal.
     failed_campaigns: u32,
     seed: u64,
 }
 
 impl Election {
-    /// The part of a gateway that came into office at `now`: as a member of a site when its process started, else as a
-    /// representative of the tier below. `own_voter` is its place among `voters`, [`super::MAX_CHILDREN`] at most.
+    /// The election state of a gateway that became a voter at `now`: for a site when its process started, for other
+    /// groups when it became a representative in the tier below. `own_voter` is its index among `voters` voters, at
+    /// most [`super::MAX_CHILDREN`].
     pub fn new(
         now: MonotonicTime,
         timing: ElectionTiming,
@@ -137,27 +139,27 @@
         }
     }
 
-    /// Comes into office anew, as a voter for a group in whose name another may have voted meanwhile. Terms stay
-    /// known.
+    /// Makes this gateway a new voter: another gateway may have voted in its place meanwhile, so the vote delay begins
+    /// again. Known terms are kept.
     pub fn reset_voter(&mut self, now: MonotonicTime) {
         self.votes_from = self.votes_from.max(now + self.timing.vote_delay);
         self.resign();
     }
 
-    /// Gives up the lease and any campaign. The own vote is free again: nobody else relies on it.
+    /// Gives up the lease and any campaign, and withdraws this gateway's vote for itself, on which nobody else relies.
     pub fn resign(&mut self) {
         self.candidacy = None;
         self.campaign_at = None;
         self.granted = self.granted.filter(|granted| granted.candidate != self.own_member);
     }
 
-    /// The term of the lease that is held at `now`, which has to be the time of the use (T3).
+    /// The term of the lease that this gateway holds at `now`, which must be the time of the use (T3).
     pub fn held_term(&self, now: MonotonicTime) -> Option<u32> {
         let candidacy = self.candidacy.as_ref()?;
         (now < candidacy.lease_until(self.timing.lease_duration)).then_some(candidacy.term)
     }
 
-    /// The holder of the lease, if a message of it came within the time of a lease.
+    /// The holder of the lease, if it is this gateway or a renewal was received within the duration of a grant.
     pub fn holder(&self, now: MonotonicTime) -> Option<KnownHolder> {
         if let Some(term) = self.held_term(now) {
             return Some(KnownHolder { member: self.own_member, term, received_at: now });
@@ -165,12 +167,12 @@
         self.known_holder.filter(|holder| now < holder.received_at + self.timing.grant_duration)
     }
 
-    /// The latest term that is known of the group.
+    /// The latest known term of the group.
     pub fn highest_term(&self) -> u32 {
         self.highest_term
     }
 
-    /// Handles an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `outputs`.
     pub fn handle(&mut self, now: MonotonicTime, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::Tick { rank } => self.tick(now, rank, outputs),
@@ -181,14 +183,15 @@
         }
     }
 
-    /// When [`Input::Tick`] is due: the next request, or the next look at whether to stand.
+    /// When [`Input::Tick`] is due: for the next request, or to check whether to begin a campaign.
     pub fn next_due(&self, now: MonotonicTime) -> MonotonicTime {
         let request_due = self.candidacy.as_ref().map(|candidacy| candidacy.next_request_at);
         let campaign_due = self.campaign_at.or(self.granted.map(|granted| granted.until));
         request_due.or(campaign_due).unwrap_or(self.votes_from).max(now)
     }
 
-    /// A lease that a majority granted stays, whatever single voters know; a campaign under an early term is in vain.
+    /// Gives up a campaign under an earlier term than the refusal names. A lease that a majority granted is kept,
+    /// whatever single voters know.
     fn receive_refusal(&mut self, term: u32) {
         self.highest_term = self.highest_term.max(term);
         let is_outdated = |candidacy: &Candidacy| !candidacy.is_elected && candidacy.term < term;
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Begins a campaign when the lease is free and the wait by rank is over.
+    /// Begins a campaign if no grant of this gateway is active and its campaign delay is over.
     fn begin_campaign_if_due(&mut self, now: MonotonicTime, rank: usize, outputs: &mut Vec<Output>) {
         if now < self.votes_from || self.has_active_grant(now) {
             self.campaign_at = None;
@@ -286,14 +289,14 @@
         self.send_request(now, outputs);
     }
 
-    /// Rounds of different campaigns, and of different processes of one member, are hardly the same: a grant that
-    /// comes very late must not be taken for one of this campaign.
+    /// The first round number of a campaign. It is pseudo-random, so that a very late grant from another campaign, or
+    /// from an earlier process of this member, is not counted for this campaign.
     fn first_round(&self) -> u32 {
         mix(self.seed ^ u64::from(self.campaigns) << 32) as u32
     }
 
-    /// The wait of the first rank is none. After each campaign that failed it is longer by a random time out of a
-    /// span that grows.
+    /// The delay before a campaign: [`ElectionTiming::rank_delay`] for each rank, so none for the first, plus a random
+    /// backoff whose range grows with each failed campaign.
     fn campaign_delay(&self, rank: usize) -> Duration {
         let rank_delay = self.timing.rank_delay;
         let steps = rank.min(MAX_RANK) as u32;
@@ -302,7 +305,7 @@
         rank_delay * steps + Duration::from_micros(random)
     }
 
-    /// Sends the request of the next round, or that of the campaign once more, and votes for itself.
+    /// Sends the request of the next round, or repeats that of the campaign, and votes for this gateway itself.
     fn send_request(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let Some(candidacy) = &mut self.candidacy else { return };
         let interval =
@@ -311,7 +314,7 @@
         if self.vote(now, self.own_member, request) {
             let Some(candidacy) = &mut self.candidacy else { return };
             candidacy.confirm(self.own_voter, request.round);
-            // A group of one voter needs nobody else.
+            // In a group of one voter, its own vote is a majority.
             if now < candidacy.lease_until(self.timing.lease_duration) {
                 candidacy.is_elected = true;
                 self.highest_granted = self.highest_granted.max(request.term);
--- a/crates/cluster/src/tiers/message.rs
+++ b/crates/cluster/src/tiers/message.rs
@@ -1,4 +1,4 @@
-//! Messages between representatives and voters: the body of a datagram of the kind
+//! Messages between representatives, voters and members: the body of a datagram of kind
 //! [`crate::wire::MessageKind::Tiers`].
 //!
 //! Layout, numbers big-endian: type (1 byte), tier (1), group (2), then by type; see [`Message::encode`].
@@ -6,75 +6,75 @@
 use super::topology::{Tier, MAX_CHILDREN, MAX_GROUP_SIZE};
 use crate::wire::MAX_BODY_BYTES;
 
-/// A message; the group is the one whose lease it is about, or whose numbers it has.
+/// A message about the lease or the counts of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// The tier of the group.
+    /// The tier of the group; for a table, the tier of the groups in it.
     pub tier: Tier,
-    /// The group.
+    /// The number of the group within its tier. For a table: the group whose representative published it.
     pub group: u16,
-    /// What it says.
+    /// The content by type.
     pub content: Content,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Content {
-    /// The sender asks for the lease, or renews it.
+    /// The sender requests the lease, or its renewal.
     Request(Request),
     /// The sender grants a request.
     Grant {
-        /// The term granted.
+        /// The granted term.
         term: u32,
         /// The round of the request.
         round: u32,
     },
-    /// The sender grants nothing in this term: it knows of a later one, or has granted it to another.
+    /// The sender refuses a request: it knows of a later term, or has granted the same term to another candidate.
     Refusal {
-        /// The latest term that it knows.
+        /// The latest term that the sender knows.
         term: u32,
     },
-    /// The sender, who takes the reports of the group, knows of a report of a later term, or of another
-    /// representative.
+    /// The sender received a report or table of the group of an earlier term than one that it knows, or of the same
+    /// term from another representative.
     StaleReport {
-        /// The term of that report.
+        /// The term of the report or table that the sender knows.
         term: u32,
     },
-    /// The sender does not represent this group; so far as it knows, this member does.
+    /// The sender does not represent this group; it names the member that does, as far as it knows.
     Redirect {
-        /// The representative.
+        /// The representative's member number.
         representative: u16,
     },
-    /// The numbers of the group, from its representative.
+    /// The count of the group, from its representative.
     Report {
-        /// Their order.
+        /// The version of the report.
         version: Version,
-        /// The numbers.
+        /// The numbers of live and unknown gateways.
         count: Count,
     },
-    /// The numbers of all groups that stand beside the group, in the order of the topology.
+    /// The counts of all groups of the tier that are siblings, in the order of the topology.
     Table(Table),
 }
 
 /// A request for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// The term asked for.
+    /// The requested term.
     pub term: u32,
-    /// The round, which a grant names.
+    /// The number of the round, which the grant repeats.
     pub round: u32,
-    /// Whether the candidate holds the lease already.
+    /// Whether the candidate already holds the lease and renews it.
     pub is_renewal: bool,
 }
 
-/// A table as its author published it.
+/// A table of counts as its author published it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Table {
-    /// The representative that published it.
+    /// The member number of the representative that published it.
     pub author: u16,
-    /// Its order among the tables of that group's representatives.
+    /// Its version among the tables of that group's representatives.
     pub version: Version,
-    /// The numbers, [`MAX_CHILDREN`] at most.
+    /// The counts by index of the group; at most [`MAX_CHILDREN`].
     pub counts: Vec<Count>,
 }
 
@@ -85,16 +85,17 @@
 const REPORT: u8 = 5;
 const TABLE: u8 = 6;
 const STALE_REPORT: u8 = 7;
-/// Bytes of a count at most: one that has no unknown gateways takes half.
+/// Greatest length of an encoded count, in bytes; one without unknown gateways takes half.
 const COUNT_BYTES: usize = 4;
-/// The bit of live gateways that says that the unknown ones follow: groups have [`MAX_GROUP_SIZE`] gateways at most.
+/// The flag in the number of live gateways that the number of unknown ones follows. The bit is free, since groups have
+/// at most [`MAX_GROUP_SIZE`] gateways.
 const UNKNOWN_FOLLOWS: u16 = MAX_GROUP_SIZE + 1;
 const _: () = assert!(UNKNOWN_FOLLOWS.is_power_of_two());
 /// Bytes of a table before its counts.
 const TABLE_HEADER_BYTES: usize = 4 + 2 + 8;
 const _: () = assert!(TABLE_HEADER_BYTES + MAX_CHILDREN * COUNT_BYTES <= MAX_BODY_BYTES);
 
-/// Reads numbers off the front of a body.
+/// Reads numbers from the front of a body.
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
@@ -150,7 +151,7 @@
         bytes
     }
 
-    /// Decodes a body; `None` if it is truncated, too long or of an unknown type.
+    /// Decodes a body; `None` if it is truncated, too long or has an unknown type or tier.
     pub fn decode(body: &[u8]) -> Option<Message> {
         let mut reader = Reader(body);
         let message_type = reader.u8()?;
--- a/crates/cluster/src/tiers/numbers.rs
+++ b/crates/cluster/src/tiers/numbers.rs
@@ -1,4 +1,4 @@
-//! The numbers: what goes up in reports, and comes down in tables.
+//! The counts of gateways: aggregation, reports to the tier above and tables for the tiers below.
 use super::count::Count;
 use super::message::Content;
 use super::offices::author_tier;
@@ -8,7 +8,7 @@
 use larchway::MonotonicTime;
 
 impl TieredMembership {
-    /// The numbers of the group at a place beside the own one, as this gateway knows them.
+    /// The count of the sibling group at an index, as this gateway knows it; may be its own group.
     pub fn count(&self, now: MonotonicTime, tier: Tier, place: usize) -> Count {
         if tier == Tier::Site && place == self.own_places[Tier::Site.index()] {
             return self.site_count();
@@ -16,7 +16,7 @@
         self.tables[tier.index()].count(now, place)
     }
 
-    /// The numbers of the whole fleet, as this gateway knows them.
+    /// The count of the whole fleet, as this gateway knows it.
     pub fn fleet_count(&self, now: MonotonicTime) -> Count {
         let mut sum = Count::default();
         for place in 0..self.topology.regions().len() {
@@ -25,12 +25,12 @@
         sum
     }
 
-    /// The numbers of the own site, by the failure detector.
+    /// The count of this gateway's site, from the failure detector.
     fn site_count(&self) -> Count {
         Count { live: 1 + self.detector.alive_others().count() as u16, unknown: 0 }
     }
 
-    /// The numbers of the own group of a tier at its representative.
+    /// The count of this gateway's group of a tier; valid at its representative.
     fn own_count(&self, now: MonotonicTime, tier: Tier) -> Count {
         let Some(below) = tier.below() else { return self.site_count() };
         let mut sum = Count::default();
@@ -38,7 +38,7 @@
         sum
     }
 
-    /// The numbers of all groups beside the own one, and of that itself, at the representative that publishes them.
+    /// The counts of this gateway's group and its siblings; valid at the representative that publishes them.
     fn sibling_counts(&self, now: MonotonicTime, tier: Tier) -> Vec<Count> {
         let own_place = self.own_places[tier.index()];
         let siblings = self.topology.siblings(tier, self.own_groups[tier.index()]);
@@ -52,7 +52,7 @@
         siblings.iter().enumerate().map(count).collect()
     }
 
-    /// Publishes the tables of the groups that this gateway represents.
+    /// Updates the tables whose author is a group that this gateway represents.
     pub(super) fn publish_tables(&mut self, now: MonotonicTime) {
         for listed in Tier::ALL {
             if let Some(term) = self.represents(now, author_tier(listed)) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends the reports that are due: to the representative above, and between regions to all others.
+    /// Sends the reports that are due: to the representative above, or from a region to all other regions.
     pub(super) fn send_reports(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         for tier in Tier::ALL {
             let Some(term) = self.represents(now, tier) else { continue };
@@ -92,7 +92,7 @@
         above.into_iter().collect()
     }
 
-    /// Sends the tables that are due to all below this gateway.
+    /// Sends the tables that are due to all recipients below this gateway.
     pub(super) fn send_tables(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if self.represents(now, Tier::Site).is_none() {
             return;
@@ -115,7 +115,7 @@
 }
 
 impl super::OutgoingReport {
-    /// Moves on to the next report. A change is sent once more with the next tick.
+    /// Advances to the next report. A changed count is sent again after two tick intervals.
     fn advance(
         &mut self,
         now: MonotonicTime,
--- a/crates/cluster/src/tiers/offices.rs
+++ b/crates/cluster/src/tiers/offices.rs
@@ -1,4 +1,4 @@
-//! Which groups this gateway represents: its part in the elections of its site, zone and region.
+//! The groups that this gateway represents, and its elections in its site, zone and region.
 use super::election::{Input as ElectionInput, Output as ElectionOutput};
 use super::message::{Content, Request};
 use super::topology::Tier;
@@ -6,8 +6,8 @@
 use larchway::MonotonicTime;
 
 impl TieredMembership {
-    /// The term of the lease by which this gateway represents its group of a tier at `now`. Who does not represent the
-    /// group below, does not represent this one.
+    /// The term of the lease under which this gateway represents its group of a tier at `now`; `None` if it does not,
+    /// or does not represent the group below.
     pub fn represents(&self, now: MonotonicTime, tier: Tier) -> Option<u32> {
         if tier.below().is_some_and(|below| self.represents(now, below).is_none()) {
             return None;
@@ -15,8 +15,8 @@
         self.elections[tier.index()].held_term(now)
     }
 
-    /// Notes which leases began and ended. A representative votes above only when all that one before it may have
-    /// granted has run out: so this comes before and after each input.
+    /// Detects which leases began and ended. A new representative must not vote in the tier above until the grants of
+    /// its predecessor have expired, so this is called before and after each input.
     pub(super) fn update_held_leases(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         for tier in Tier::ALL {
             let held = self.represents(now, tier);
@@ -52,7 +52,7 @@
         self.adopt_tables(tier);
     }
 
-    /// Takes over the tables that earlier representatives of the group published.
+    /// Adopts the tables that earlier representatives of the group published.
     fn adopt_tables(&mut self, tier: Tier) {
         let published_tiers = Tier::ALL.into_iter().filter(|listed| author_tier(*listed) == tier);
         for listed in published_tiers {
@@ -70,7 +70,7 @@
         self.elect(now, tier, ElectionInput::Tick { rank }, outputs);
     }
 
-    /// The place of this gateway among those that may represent its group, if it may itself.
+    /// This gateway's rank among the possible candidates of its group; `None` if it may not be one itself.
     fn rank(&self, now: MonotonicTime, tier: Tier) -> Option<usize> {
         match tier.below() {
             None => {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Hands an event to the election of the own group of a tier.
+    /// Passes an event to the election of this gateway's group of a tier, and sends the resulting messages.
     pub(super) fn elect(
         &mut self,
         now: MonotonicTime,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// To whom a representative of a tier sends what is for all below it: the other members of its site that live, or
-    /// the representatives of the other groups below.
+    /// The recipients of messages of a tier's representative to all below it: the other live members of its site, or
+    /// the representatives of the other groups of the tier below.
     pub(super) fn recipients_below(&mut self, now: MonotonicTime, tier: Tier) -> Vec<u16> {
         match tier.below() {
             None => self.detector.alive_others().filter_map(|index| self.member_at(index)).collect(),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The representatives of the groups beside the own one, or members that may know them.
+    /// The representatives of the other sibling groups, or random members of groups whose representative is unknown.
     pub(super) fn sibling_representatives(&mut self, now: MonotonicTime, tier: Tier) -> Vec<u16> {
         let own_place = self.own_places[tier.index()];
         let siblings = self.topology.siblings(tier, self.own_groups[tier.index()]);
@@ -134,8 +134,8 @@
     }
 }
 
-/// The tier whose representative publishes the table of the groups of a tier: the one above, and the region's own for
-/// all regions.
+/// The tier whose representative publishes the table of the groups of a tier: the tier above, or the region for the
+/// table of all regions.
 pub(super) fn author_tier(listed: Tier) -> Tier {
     listed.above().unwrap_or(Tier::Region)
 }
--- a/crates/cluster/src/tiers/receiving.rs
+++ b/crates/cluster/src/tiers/receiving.rs
@@ -1,4 +1,4 @@
-//! Messages that come in. Each is taken only from a gateway of the group that it speaks for (T4).
+//! Received messages. A message is accepted only from a gateway of the group that it is sent for (T4).
 use super::count::{Count, Version};
 use super::election::Input as ElectionInput;
 use super::message::{Content, Message, Request, Table};
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Whether a member is of the own group of a tier.
+    /// Whether a member belongs to this gateway's group of a tier.
     fn is_of_group(&self, member: u16, tier: Tier) -> bool {
         self.topology.group_of(tier, member) == Some(self.own_groups[tier.index()])
     }
 
-    /// Whether a member is of the own group of a tier, or of one beside it.
+    /// Whether a member belongs to this gateway's group of a tier, or to a sibling group.
     fn is_of_sibling_group(&self, member: u16, tier: Tier) -> bool {
         tier.above().is_none_or(|above| self.is_of_group(member, above))
     }
 
-    /// The place of a member's group among those of a tier beside the own one.
+    /// The index of a member's group among this gateway's group of a tier and its siblings; `None` if it is in neither.
     fn place_of(&self, member: u16, tier: Tier) -> Option<usize> {
         let group = self.topology.group_of(tier, member)?;
         let siblings = self.topology.siblings(tier, self.own_groups[tier.index()]);
@@ -103,7 +103,7 @@
         self.elect(now, tier, ElectionInput::Grant { voter, term, round }, outputs);
     }
 
-    /// Names the representative of the own group of a tier, as far as it is known.
+    /// Answers with the representative of this gateway's group of a tier, if it is known.
     fn redirect(&mut self, now: MonotonicTime, to: u16, tier: Tier, outputs: &mut Vec<Output>) {
         let elected = self.elections[tier.index()].holder(now).map(|holder| holder.member);
         let author = || self.tables[tier.below()?.index()].author(now);
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Sends the own region's numbers to a representative of another that was not known before: it may not have found
+    /// Sends the count of this gateway's region to a newly known representative of another region, which may not know
     /// this one yet.
     fn send_region_report(&mut self, now: MonotonicTime, to: u16, outputs: &mut Vec<Output>) {
         let outgoing = self.outgoing[Tier::Region.index()];
--- a/crates/cluster/src/tiers/reports.rs
+++ b/crates/cluster/src/tiers/reports.rs
@@ -1,4 +1,4 @@
-//! The reports of groups at the representative above them.
+//! The reports of groups, as received by the representative that publishes their table.
 use super::count::{Count, Version};
 use super::message::Table;
 use larchway::MonotonicTime;
@@ -13,21 +13,21 @@
     received_at: MonotonicTime,
 }
 
-/// What became of a report.
+/// The outcome of a received report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// It is the latest now.
+    /// It is the latest report of its group now.
     Accepted,
-    /// It is not later than the one known: a duplicate, or late on its way.
+    /// It is not later than the known one: a duplicate, or delayed.
     Ignored,
-    /// It is of an earlier representative than the one known (T4).
+    /// It is from an earlier representative than the known report (T4), or of the same term from another one.
     Stale {
         /// The term of the latest report.
         term: u32,
     },
 }
 
-/// The reports of the groups of one table, by their places; as many as those groups.
+/// The latest reports of the groups of one table by index; one entry per group.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Reports {
     timeout: Duration,
@@ -35,7 +35,7 @@
 }
 
 impl Reports {
-    /// No report of so many groups. One that is older than `timeout` counts no more (T6).
+    /// An empty record for a number of groups. A report older than `timeout` is no longer used (T6).
     pub fn new(groups: usize, timeout: Duration) -> Self {
         Reports { timeout, latest: vec![None; groups] }
     }
@@ -44,8 +44,8 @@
         now < report.received_at + self.timeout
     }
 
-    /// T4: takes a report in if it is later than the one known. One whose group was silent for long is taken under the
-    /// same term again, whatever its sequence: its author may have restarted.
+    /// T4: accepts a report that is later than the known one. If the known one has timed out, a report of the same
+    /// term is accepted whatever its sequence, since its author may have restarted.
     pub fn receive(
         &mut self,
         now: MonotonicTime,
@@ -70,7 +70,8 @@
         ReportOutcome::Accepted
     }
 
-    /// The numbers of a group of this size: unknown without a report of late (T6), and never beyond its size (T5).
+    /// The count of a group of this size: unknown without a report within the timeout (T6), and limited to the size
+    /// (T5).
     pub fn count(&self, now: MonotonicTime, place: usize, size: u16) -> Count {
         match self.latest.get(place).copied().flatten() {
             Some(report) if self.is_fresh(&report, now) => report.count.clamped(size),
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Takes over what an earlier representative published, as of when it was published, for those that have not
-    /// reported since. So a new one does not count all as unknown until they have found it.
+    /// Adopts the counts that an earlier representative published, with the time of their table, for groups that have
+    /// not reported since. Otherwise a new representative would count all groups as unknown until they report to it.
     pub fn adopt(&mut self, table: &Table, received_at: MonotonicTime) {
         for (latest, count) in self.latest.iter_mut().zip(&table.counts) {
             let is_known = latest.is_some_and(|report| report.received_at >= received_at);
--- a/crates/cluster/src/tiers/tables.rs
+++ b/crates/cluster/src/tiers/tables.rs
@@ -1,21 +1,21 @@
-//! The tables of numbers at one gateway: published here, or received and passed on.
+//! The tables of counts at one gateway: published here, or received and forwarded.
 use super::count::{Count, Version};
 use super::message::Table;
 use super::timing::{CHANGE_INTERVAL, CHANGE_REPEATS, REFRESH_INTERVAL, TABLE_TIMEOUT};
 use larchway::MonotonicTime;
 
-/// One table, and when it is to be sent to those below.
+/// One table, and when to send it to the recipients below.
 #[derive(Debug, Clone)]
 pub(super) struct TableState {
     table: Table,
-    /// The configured gateways of each group.
+    /// The configured number of gateways of each group.
     sizes: Vec<u16>,
-    /// When it was last published or received; `None` if it never was.
+    /// When the table was last published or received; `None` if never.
     updated_at: Option<MonotonicTime>,
-    /// When it was last sent.
+    /// When the table was last sent.
     sent_at: MonotonicTime,
     next_send_at: MonotonicTime,
-    /// How often it is still to be sent soon.
+    /// Number of remaining sendings of a changed table before [`REFRESH_INTERVAL`] applies.
     repeats_left: u8,
 }
 
@@ -31,27 +31,27 @@
         }
     }
 
-    /// Whether it was updated of late.
+    /// Whether the table was updated within [`TABLE_TIMEOUT`].
     pub(super) fn is_fresh(&self, now: MonotonicTime) -> bool {
         self.updated_at.is_some_and(|at| now < at + TABLE_TIMEOUT)
     }
 
-    /// The table with the time of its last update, if it has one.
+    /// The table and the time of its last update; `None` if it was never published or received.
     pub(super) fn latest(&self) -> Option<(&Table, MonotonicTime)> {
         self.updated_at.map(|at| (&self.table, at))
     }
 
-    /// The representative that published it, if it is fresh.
+    /// The representative that published the table, if it is fresh.
     pub(super) fn author(&self, now: MonotonicTime) -> Option<u16> {
         self.is_fresh(now).then_some(self.table.author)
     }
 
-    /// The term under which it was published; 0 if it never was.
+    /// The term under which the table was published; 0 if it never was.
     pub(super) fn term(&self) -> u32 {
         self.table.version.term
     }
 
-    /// The numbers of the group at a place; unknown if the table is stale.
+    /// The count of the group at an index; unknown if the table is stale.
     pub(super) fn count(&self, now: MonotonicTime, place: usize) -> Count {
         let size = self.sizes.get(place).copied().unwrap_or(0);
         match self.table.counts.get(place) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Publishes numbers as the representative of this term, if they have changed or are to be refreshed.
+    /// Publishes counts as the representative of this term, if they have changed or the table needs a refresh.
     pub(super) fn publish(&mut self, now: MonotonicTime, author: u16, term: u32, counts: Vec<Count>) {
         let is_same_term = (self.table.author, self.table.version.term) == (author, term);
         let is_changed = !is_same_term || self.table.counts != counts;
@@ -72,9 +72,9 @@
         self.replace(now, Table { author, version: Version { term, sequence }, counts });
     }
 
-    /// T4: takes a table that was received, if it is later than the one known, or that one is stale. Returns the term
-    /// that is known if the table is of an earlier one, or of another author in the same: its author's voters have
-    /// forgotten.
+    /// T4: accepts a received table if it is later than the known one, or the known one is stale. Returns the known
+    /// term if the received table is of an earlier term, or of the same term from another author: after a restart,
+    /// the voters that elected that author did not know the term.
     pub(super) fn receive(&mut self, now: MonotonicTime, table: Table) -> Option<u32> {
         let (known_term, received_term) = (self.table.version.term, table.version.term);
         let is_fresh = self.is_fresh(now);
@@ -98,7 +98,7 @@
         self.next_send_at = self.next_send_at.min(now.max(self.sent_at + CHANGE_INTERVAL));
     }
 
-    /// The table, if it is to be sent now.
+    /// Returns the table if it is due to be sent, and schedules the next sending.
     pub(super) fn take_due(&mut self, now: MonotonicTime) -> Option<Table> {
         if !self.is_fresh(now) || now < self.next_send_at {
             return None;
--- a/crates/cluster/src/tiers/timing.rs
+++ b/crates/cluster/src/tiers/timing.rs
@@ -1,25 +1,26 @@
-//! Spans of the elections and of the numbers.
+//! Durations and limits of the elections, reports and tables.
 use std::time::Duration;
 
-/// Spans of an election. All voters and candidates of a group need the same.
+/// Durations of an election. They must be the same at all voters and candidates of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ElectionTiming {
-    /// How long a lease holds after the request was sent that a majority granted.
+    /// Duration of a lease, from the sending of the request that a majority granted.
     pub lease_duration: Duration,
-    /// How long a voter that granted a request grants no other, after it received it: longer than `lease`, by what
-    /// clocks may differ in rate meanwhile.
+    /// Time after receiving a request that it grants for which a voter grants no other candidate; longer than
+    /// `lease_duration`, since the clocks of gateways may run at different rates.
     pub grant_duration: Duration,
-    /// How long a voter does not vote after it started or came into office: `grant`, since it may have forgotten one.
+    /// Time for which a new voter does not vote: as long as a grant, since the same voter before a restart, or its
+    /// predecessor, may have given one.
     pub vote_delay: Duration,
     /// Time between two renewals.
     pub renewal_interval: Duration,
-    /// Time between two sendings of a campaign's request.
+    /// Time between two sendings of the request of a campaign.
     pub resend_interval: Duration,
-    /// How long a campaign waits for a majority.
+    /// Time after which a campaign without a majority is given up.
     pub campaign_timeout: Duration,
-    /// Time between the campaigns of two candidates of neighbouring ranks.
+    /// Delay before a campaign for each rank of the candidate.
     pub rank_delay: Duration,
-    /// How long a candidate is passed over that was granted a campaign and never renewed it.
+    /// Time after an expired grant for which a voter refuses a candidate that never renewed the granted lease.
     pub candidate_cooldown: Duration,
 }
 
@@ -39,30 +40,30 @@
     }
 }
 
-/// Ranks that differ in the wait before a campaign.
+/// Rank above which the delay before a campaign does not grow further.
 pub(super) const MAX_RANK: usize = 8;
-/// Steps of [`ElectionTiming::rank_delay`] at most from which the wait after failed campaigns is chosen.
+/// Greatest range of the random backoff after failed campaigns, in steps of [`ElectionTiming::rank_delay`].
 pub(super) const MAX_BACKOFF_STEPS: u32 = 8;
 
-/// Time between two ticks at most.
+/// Longest time between two ticks.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two reports to the representative above; regions report to each other at [`REGION_REPORT_INTERVAL`].
 pub(super) const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two reports to the other regions.
 pub(super) const REGION_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time without a report after which nothing is known of a site or zone (T6).
+/// Time without a report after which a site or zone counts as unknown (T6).
 pub(super) const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// The same of a region, which reports less often.
+/// Time without a report after which a region counts as unknown; longer, since regions report less often.
 pub(super) const REGION_REPORT_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time between two sendings of a table that changes.
+/// Shortest time between two sendings of a table that changes.
 pub(super) const CHANGE_INTERVAL: Duration = Duration::from_millis(700);
-/// Time between two sendings of a table that does not.
+/// Time between two sendings of an unchanged table.
 pub(super) const REFRESH_INTERVAL: Duration = Duration::from_secs(2);
-/// How often a change is sent.
+/// Number of sendings of a changed table, [`CHANGE_INTERVAL`] apart; then [`REFRESH_INTERVAL`] applies.
 pub(super) const CHANGE_REPEATS: u8 = 3;
-/// Time without a table after which nothing is known of the groups in it.
+/// Time without a new table after which the groups in it count as unknown.
 pub(super) const TABLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time after which a representative that sent nothing is looked for again.
+/// Time without a message of a representative, or a redirect to it, after which it is no longer used as a contact.
 pub(super) const CONTACT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between two renewals in a site, which has many voters: some renewals may be lost.
+/// Time between two renewals in a site, which has many voters; still short enough that some renewals may be lost.
 pub(super) const SITE_RENEWAL: Duration = Duration::from_millis(300);
--- a/crates/cluster/src/tiers/topology.rs
+++ b/crates/cluster/src/tiers/topology.rs
@@ -1,134 +1,135 @@
-//! Which gateways form which sites, zones and regions: the configured places, checked.
+//! The tree of regions, zones, sites and gateways, built from the configured places and validated.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Members of a site, sites of a zone, zones of a region and regions, at most: a table of so many groups fits into one
-/// datagram.
+/// Greatest number of members of a site, sites of a zone, zones of a region, and regions: a table of this many groups
+/// fits into one datagram.
 pub const MAX_CHILDREN: usize = 56;
-/// Gateways of a group at most.
+/// Greatest number of gateways in a site, zone or region.
 pub const MAX_GROUP_SIZE: u16 = 0x7fff;
-/// Tiers in which a representative is elected.
+/// Number of tiers in which a representative is elected.
 pub const TIERS: usize = 3;
 
-/// A tier of the tree.
+/// A tier of the tree of groups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Tier {
-    /// Gateways at one place; they watch each other with the failure detector.
+    /// A group of gateways at one place, which monitor each other with the failure detector.
     Site,
-    /// Sites.
+    /// A group of sites.
     Zone,
-    /// Zones.
+    /// A group of zones.
     Region,
 }
 
 impl Tier {
-    /// All tiers, from below.
+    /// All tiers, the lowest first.
     pub const ALL: [Tier; TIERS] = [Tier::Site, Tier::Zone, Tier::Region];
 
-    /// Its position from below.
+    /// The index of the tier, from 0 for the lowest.
     pub const fn index(self) -> usize {
         self as usize
     }
 
-    /// The tier of this position.
+    /// The tier with this index; `None` if there is none.
     pub fn from_index(index: usize) -> Option<Tier> {
         Tier::ALL.get(index).copied()
     }
 
-    /// The tier below, whose representatives elect that of this tier; those of a site are elected by its members.
+    /// The tier below, whose representatives elect the representative of this tier; `None` for a site, whose members
+    /// elect it.
     pub fn below(self) -> Option<Tier> {
         self.index().checked_sub(1).and_then(Tier::from_index)
     }
 
-    /// The tier above.
+    /// The tier above; `None` for a region.
     pub fn above(self) -> Option<Tier> {
         Tier::from_index(self.index() + 1)
     }
 }
 
-/// A site as the operator wrote it.
+/// A site as configured by the operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SitePlace {
-    /// Its name.
+    /// The name of the site.
     pub site: String,
     /// The name of its zone.
     pub zone: String,
     /// The name of the region of that zone.
     pub region: String,
-    /// The numbers of its members: their places in `peers`, from 0.
+    /// The numbers of its members: their indices in `peers`, from 0.
     pub members: Vec<u16>,
 }
 
-/// Why places cannot be used. Each text begins with the key.
+/// Why the configured places are rejected. Each text begins with the key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TopologyError {
-    /// A site without members.
+    /// A site has no members.
     #[error("sites[{site}].members: no member")]
     NoMembers {
-        /// Its position.
+        /// The index of the site in `sites`.
         site: usize,
     },
-    /// A member that is not configured.
+    /// A member number that is not configured.
     #[error("sites[{site}].members: {member} is not below {members}, the number of gateways")]
     UnknownMember {
-        /// The site's position.
+        /// The index of the site in `sites`.
         site: usize,
-        /// The member.
+        /// The member's number.
         member: u16,
-        /// Gateways of the configuration.
+        /// The number of configured gateways.
         members: usize,
     },
-    /// A member of two sites.
+    /// A member is in two sites.
     #[error("sites[{site}].members: {member} is in another site too")]
     RepeatedMember {
-        /// The site's position.
+        /// The index of the site in `sites`.
         site: usize,
-        /// The member.
+        /// The member's number.
         member: u16,
     },
-    /// A member of no site.
+    /// A member is in no site.
     #[error("sites: member {member} is in none")]
     MissingMember {
-        /// The member.
+        /// The member's number.
         member: u16,
     },
-    /// Two sites of one name.
+    /// Two sites have the same name.
     #[error("sites[{site}].site: {name:?} is the name of another site too")]
     RepeatedSite {
-        /// The site's position.
+        /// The index of the site in `sites`.
         site: usize,
-        /// The name.
+        /// The repeated name.
         name: String,
     },
-    /// A zone in two regions.
+    /// A zone is in two regions.
     #[error("sites[{site}].region: zone {zone:?} is in region {other:?} at another site")]
     ZoneInTwoRegions {
-        /// The site's position.
+        /// The index of the site in `sites`.
         site: usize,
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// The other region.
+        /// The region that another site names for the zone.
         other: String,
     },
-    /// A region with too many gateways.
+    /// A region has too many gateways.
     #[error("sites[{site}].members: region {region:?} has more than {MAX_GROUP_SIZE} gateways")]
     TooManyMembers {
-        /// The position of the site with which it has.
+        /// The index in `sites` of the site that exceeds the limit.
         site: usize,
-        /// The region.
+        /// The name of the region.
         region: String,
     },
-    /// A group with too many parts.
+    /// A group has too many children.
     #[error("sites: {what} {name:?} has {children} parts, more than {MAX_CHILDREN}")]
     TooManyChildren {
-        /// Its tier, or the fleet.
+        /// The tier of the group, or `the fleet`.
         what: &'static str,
-        /// Its name.
+        /// The name of the group; empty for the fleet.
         name: String,
-        /// Its parts.
+        /// The number of its children.
         children: usize,
     },
 }
@@ -137,34 +138,34 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Group {
     name: String,
-    /// The group of the tier above; 0 for a region.
+    /// The number of its group in the tier above; 0 for a region.
     parent: u16,
-    /// Members of a site, sites of a zone, zones of a region.
+    /// The numbers of its members, sites or zones.
     children: Vec<u16>,
-    /// Its gateways.
+    /// The number of its gateways.
     size: u16,
 }
 
-/// The places of all gateways. It grows with the fleet, as the list of their addresses does: some 6 bytes a gateway.
+/// The places of all gateways. Its size grows with the fleet, like the list of addresses: about 6 bytes per gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Topology {
-    /// By tier, the groups; at most as many as gateways, 65,535.
+    /// The groups by tier; at most as many per tier as gateways, 65,535.
     groups: [Vec<Group>; TIERS],
-    /// All regions.
+    /// The numbers of all regions.
     regions: Vec<u16>,
-    /// By member, its site.
+    /// The site of each member, by member number.
     site_of: Vec<u16>,
 }
 
-/// The site of a member that is in none, while places are read.
+/// Marks a member that is in no site yet while the topology is built.
 const NO_SITE: u16 = u16::MAX;
 
 impl Topology {
-    /// Checks the places of `members` gateways.
+    /// Builds and validates the topology of `members` gateways.
     ///
     /// # Errors
     ///
-    /// [`TopologyError`], whose text names the key.
+    /// Returns a [`TopologyError`], whose text names the key.
     pub fn new(places: &[SitePlace], members: usize) -> Result<Topology, TopologyError> {
         let mut topology =
             Topology { groups: Default::default(), regions: Vec::new(), site_of: vec![NO_SITE; members] };
@@ -269,18 +270,18 @@
         })
     }
 
-    /// The parts of a group: members of a site, sites of a zone, zones of a region.
+    /// The numbers of a group's children: members of a site, sites of a zone, or zones of a region.
     pub fn children(&self, tier: Tier, group: u16) -> &[u16] {
         &self.group(tier, group).children
     }
 
-    /// All regions.
+    /// The numbers of all regions.
     pub fn regions(&self) -> &[u16] {
         &self.regions
     }
 
-    /// The groups of a tier that a member of `own` knows by number: the sites of its zone, the zones of its region,
-    /// all regions.
+    /// The groups of a tier with the same parent as `own`, including `own`: the sites of its zone, the zones of its
+    /// region, or all regions.
     pub fn siblings(&self, tier: Tier, own: u16) -> &[u16] {
         match tier.above() {
             Some(above) => self.children(above, self.group(tier, own).parent),
@@ -288,7 +289,7 @@
         }
     }
 
-    /// The gateways of a group.
+    /// The number of gateways of a group.
     pub fn size(&self, tier: Tier, group: u16) -> u16 {
         self.group(tier, group).size
     }
@@ -298,7 +299,7 @@
         &self.group(tier, group).name
     }
 
-    /// Some member of a group; which one, `choice` decides.
+    /// A member of a group, selected by the random number `choice`.
     pub fn pick_member(&self, tier: Tier, group: u16, choice: u64) -> u16 {
         let children = self.children(tier, group);
         let chosen = children[(choice % children.len() as u64) as usize];
--- a/crates/cluster/src/tiers/view.rs
+++ b/crates/cluster/src/tiers/view.rs
@@ -5,53 +5,53 @@
 use larchway::MonotonicTime;
 use serde::Serialize;
 
-/// The numbers of one group.
+/// The report of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct GroupReport {
-    /// Its name.
+    /// The name of the group; empty for the fleet.
     pub name: String,
-    /// Its configured gateways.
+    /// The number of its configured gateways.
     pub members: u16,
-    /// Its numbers.
+    /// The numbers of its live and unknown gateways.
     #[serde(flatten)]
     pub count: Count,
-    /// Gateways that are dead or have left.
+    /// The number of its gateways that are dead or have left.
     pub dead: u16,
 }
 
-/// One tier as one gateway knows it.
+/// The report of one tier, as one gateway knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct TierReport {
-    /// The tier.
+    /// The tier that the report is about.
     pub tier: Tier,
-    /// The name of the own group.
+    /// The name of this gateway's group.
     pub own: String,
-    /// The gateway that represents it, if it is known.
+    /// The member number of the group's representative, if it is known.
     pub representative: Option<u16>,
-    /// The term of its lease, or the latest that is known.
+    /// The latest known term of the group's lease.
     pub term: u32,
-    /// Whether the numbers of this tier were refreshed of late.
+    /// Whether the table of this tier was updated within its timeout.
     pub fresh: bool,
-    /// The groups beside the own one, and that itself.
+    /// This gateway's group and its siblings, in the order of the topology.
     pub groups: Vec<GroupReport>,
 }
 
-/// All tiers as one gateway knows them.
+/// The report of all tiers, as one gateway knows them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct TiersReport {
-    /// From below.
+    /// The tiers, the lowest first.
     pub tiers: Vec<TierReport>,
     /// The whole fleet.
     pub fleet: GroupReport,
     /// Datagrams sent so far.
     #[serde(rename = "sent")]
     pub datagrams_sent: u64,
-    /// Their bytes.
+    /// Bytes of these datagrams, including the envelopes.
     pub bytes_sent: u64,
 }
 
 impl TieredMembership {
-    /// The report of the members of the own site, by their places in it.
+    /// The failure detector's report of this gateway's site; members are identified by their indices within it.
     pub fn site_report(&self, now: MonotonicTime) -> crate::failure_detector::Report {
         self.detector.report(now)
     }
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -1,7 +1,7 @@
-//! The datagrams between gateways: one envelope for every message, [`MAX_DATAGRAM_BYTES`] at most.
+//! The datagrams between gateways: one envelope for all messages, at most [`MAX_DATAGRAM_BYTES`] long.
 //!
-//! Layout, numbers big-endian: magic (2 bytes), version (1), kind (1), sender (2), CRC-32 of all but itself (4), body.
-//! Datagrams that cannot be used are distinguished by cause ([`DecodeError`]), so that an operator sees which it was.
+//! Layout, numbers big-endian: magic (2 bytes), version (1), kind (1), sender (2), CRC-32 of the rest (4), body.
+//! Rejected datagrams are distinguished by cause ([`DecodeError`]) for operators.
 mod gossip;
 
 use serde::Serialize;
@@ -12,13 +12,13 @@
     MAX_SUSPICION_AGE,
 };
 
-/// Bytes of a datagram at most: the platform voids a run with a longer one.
+/// Greatest length of a datagram in bytes: the platform voids a run with a longer one.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Bytes before the body.
+/// Length of the header before the body, in bytes.
 pub const HEADER_BYTES: usize = 10;
-/// Bytes of a body at most.
+/// Greatest length of a body in bytes.
 pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
-/// Bytes of the header before the checksum.
+/// Length of the header before the checksum, in bytes.
 const CHECKED_HEADER_BYTES: usize = 6;
 /// The first bytes of each datagram.
 const MAGIC: [u8; 2] = *b"lw";
@@ -28,27 +28,27 @@
 /// The kind of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageKind {
-    /// [`Gossip`], to be answered with an [`MessageKind::Ack`].
+    /// [`Gossip`] that the recipient answers with a [`MessageKind::Ack`].
     Ping,
     /// [`Gossip`] in answer to a ping.
     Ack,
-    /// A request to ping a member, whose number is the body, and to forward its answer.
+    /// A request to ping the member whose number is the body, and to forward its answer.
     IndirectPing,
     /// Reports of stores' health ([`crate::store_health`]).
     StoreHealth,
-    /// What the sender knows of the stores' load.
+    /// The sender's estimates of the load of stores.
     Load,
-    /// [`MessageKind::Ping`] within a site, whose members have the numbers of their places in it.
+    /// [`MessageKind::Ping`] within a site; member numbers in the body are indices within the site.
     SitePing,
     /// [`MessageKind::Ack`] within a site.
     SiteAck,
     /// [`MessageKind::IndirectPing`] within a site.
     SiteIndirectPing,
-    /// Elections and numbers of sites, zones and regions ([`crate::tiers`]).
+    /// Elections and counts of sites, zones and regions ([`crate::tiers`]).
     Tiers,
 }
 
-/// All kinds, in the order of their numbers on the wire, which begin with 1.
+/// All kinds in the order of their numbers on the wire, which begin at 1.
 const MESSAGE_KINDS: [MessageKind; 9] = [
     MessageKind::Ping,
     MessageKind::Ack,
@@ -61,23 +61,23 @@
     MessageKind::Tiers,
 ];
 
-/// Why a datagram is rejected. Serialized under the names that operators see.
+/// Why a datagram is rejected. Variants are serialized under the names in the operators' reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error, Serialize)]
 pub enum DecodeError {
-    /// It came from an address that is not in `peers`, or names another sender than the one at that address.
-    #[error("the sender is not the gateway that `peers` has at its address")]
+    /// It came from an address that is not in `peers`, or names a different sender than `peers` has at that address.
+    #[error("the sender is not the gateway that `peers` has at this address")]
     #[serde(rename = "foreign")]
     UnknownSender,
-    /// It has no header, is truncated or too long, or its body cannot be decoded.
-    #[error("it is no datagram of this protocol, or truncated")]
+    /// The header is missing, the datagram is truncated or too long, or the body cannot be decoded.
+    #[error("not a datagram of this protocol, or truncated")]
     #[serde(rename = "malformed")]
     Malformed,
-    /// Its checksum is wrong.
-    #[error("its checksum is wrong")]
+    /// The checksum is wrong.
+    #[error("wrong checksum")]
     #[serde(rename = "spoilt")]
     Corrupt,
-    /// It is of another version or of an unknown kind.
-    #[error("it is of another version or an unknown kind")]
+    /// The version is not supported, or the message kind is unknown.
+    #[error("unsupported version or unknown message kind")]
     #[serde(rename = "version")]
     UnsupportedVersion,
 }
@@ -100,7 +100,7 @@
     hasher.finalize()
 }
 
-/// Encodes a datagram. A body over [`MAX_BODY_BYTES`] is a bug of the caller, and truncated.
+/// Encodes a datagram. A body over [`MAX_BODY_BYTES`] is a bug of the caller and is truncated.
 pub fn encode(kind: MessageKind, from: u16, body: &[u8]) -> Vec<u8> {
     let body = &body[..body.len().min(MAX_BODY_BYTES)];
     let index = MESSAGE_KINDS.iter().position(|listed| *listed == kind).unwrap_or(0);
@@ -118,8 +118,8 @@
 ///
 /// # Errors
 ///
-/// [`DecodeError::Malformed`], [`DecodeError::Corrupt`] or [`DecodeError::UnsupportedVersion`]; who the sender is, the
-/// caller checks.
+/// [`DecodeError::Malformed`], [`DecodeError::Corrupt`] or [`DecodeError::UnsupportedVersion`]. The caller checks the
+/// sender.
 pub fn decode(datagram: &[u8]) -> Result<Envelope<'_>, DecodeError> {
     let length_fits = (HEADER_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len());
     if !length_fits || datagram[..2] != MAGIC {
--- a/crates/cluster/src/wire/gossip.rs
+++ b/crates/cluster/src/wire/gossip.rs
@@ -1,21 +1,21 @@
-//! The body of pings and acks: what the sender knows of the members.
+//! The body of pings and acks: the sender's knowledge of the members.
 //!
 //! Layout, numbers big-endian: the sender's heartbeat (4 bytes), flags (1: paused, 2: isolated), number of claims (1),
 //! first member of the window (2), the claims ([`CLAIM_BYTES`] each), the heartbeats of the window
 //! ([`HEARTBEAT_BYTES`] each) up to the end.
 use super::MAX_BODY_BYTES;
 
-/// Bytes before the claims.
+/// Length of the header before the claims, in bytes.
 pub(super) const GOSSIP_HEADER_BYTES: usize = HEARTBEAT_BYTES + 1 + 1 + 2;
-/// Bytes of a claim: member (2), heartbeat (4), claimed state (1).
+/// Length of a claim in bytes: member (2), heartbeat (4), claimed state (1).
 pub(super) const CLAIM_BYTES: usize = 2 + HEARTBEAT_BYTES + 1;
-/// Bytes of a heartbeat: incarnation (2), beat with the flag of a graceful leave (2).
+/// Length of a heartbeat in bytes: incarnation (2), beat with the flag of a graceful leave (2).
 const HEARTBEAT_BYTES: usize = 4;
-/// The bits of a beat: it is counted modulo 2^14.
+/// The bits of a beat number, which is counted modulo 2^14.
 pub const BEAT_MASK: u16 = 0x3fff;
-/// The bit of a graceful leave, above those of the beat.
+/// The flag of a graceful leave, above the bits of the beat.
 const LEFT_BIT: u16 = 1 << 14;
-/// The flag of a sender that was itself paused.
+/// The flag of a sender that itself was paused.
 const PAUSED_FLAG: u8 = 1;
 /// The flag of a sender that receives nothing.
 const ISOLATED_FLAG: u8 = 2;
@@ -23,27 +23,26 @@
 const UNSUSPECTED: u8 = u8::MAX;
 /// The claimed state of a member that the sender considers dead.
 const DEAD: u8 = u8::MAX - 1;
-/// The age of a suspicion at most, in tenths of a second; older ones are claimed at this age.
+/// Greatest age of a claimed suspicion, in tenths of a second; older suspicions are claimed with this age.
 pub const MAX_SUSPICION_AGE: u8 = DEAD - 1;
 
-/// The latest sign of life that is known of a member.
+/// The latest known sign of life of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Heartbeat {
-    /// Its incarnation; 0 stands for a member that has sent nothing.
+    /// The member's incarnation; 0 if nothing has been received from it.
     pub incarnation: u16,
-    /// Its count of beats, modulo 2^14, which advances with its clock.
+    /// The number of its latest beat, modulo 2^14, which advances with the member's clock.
     pub beat: u16,
-    /// Whether it has left gracefully.
+    /// Whether the member has left gracefully.
     pub left: bool,
 }
 
-/// What a sender claims of a member beside its heartbeat.
+/// The state of a member as claimed by a sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimedState {
     /// The sender does not suspect it.
     Unsuspected,
-    /// The sender first sent it a ping that got no answer so many tenths of a second ago, [`MAX_SUSPICION_AGE`] at
-    /// most.
+    /// The sender suspects it, since a ping sent this many tenths of a second ago; at most [`MAX_SUSPICION_AGE`].
     SuspectedFor(u8),
     /// The sender considers it dead.
     Dead,
@@ -52,11 +51,11 @@
 /// A claim about one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberClaim {
-    /// Its number.
+    /// The member's number.
     pub member: u16,
-    /// The latest heartbeat that the sender knows of.
+    /// The member's latest heartbeat that the sender knows.
     pub heartbeat: Heartbeat,
-    /// Whether the sender suspects it.
+    /// The member's state according to the sender.
     pub state: ClaimedState,
 }
 
@@ -65,15 +64,15 @@
 pub struct Gossip {
     /// The sender's own heartbeat.
     pub own: Heartbeat,
-    /// Whether the sender was itself paused recently.
+    /// Whether the sender itself was paused recently.
     pub paused: bool,
     /// Whether the sender receives nothing from any other member.
     pub isolated: bool,
-    /// Claims about single members: suspected ones, and those that the receiver asked for.
+    /// Claims about single members: suspected ones, and in an ack those that the ping made claims about.
     pub claims: Vec<MemberClaim>,
-    /// The member to which the first heartbeat of `window` belongs.
+    /// The number of the member to which the first heartbeat of `window` belongs.
     pub window_start: u16,
-    /// Heartbeats of consecutive members.
+    /// Heartbeats of members with consecutive numbers.
     pub window: Vec<Heartbeat>,
 }
 
@@ -82,7 +81,7 @@
     (1..BEAT_MASK / 2).contains(&(new.wrapping_sub(old) & BEAT_MASK))
 }
 
-/// Whether an incarnation comes after another, with wrap-around; 0, nothing received, comes before all.
+/// Whether an incarnation comes after another, with wrap-around; 0 (nothing received) comes before all others.
 pub fn is_later_incarnation(new: u16, old: u16) -> bool {
     new != 0 && (old == 0 || (1..0x8000).contains(&new.wrapping_sub(old)))
 }
@@ -94,7 +93,7 @@
         bytes.extend_from_slice(&(self.beat & BEAT_MASK | left).to_be_bytes());
     }
 
-    /// `bytes` are [`HEARTBEAT_BYTES`] long at least.
+    /// Decodes the first [`HEARTBEAT_BYTES`] of `bytes`, which must be at least that long.
     fn decode(bytes: &[u8]) -> Heartbeat {
         let incarnation = u16::from_be_bytes([bytes[0], bytes[1]]);
         let beat_and_left = u16::from_be_bytes([bytes[2], bytes[3]]);
@@ -127,7 +126,7 @@
         bytes.push(self.state.to_byte());
     }
 
-    /// `bytes` are [`CLAIM_BYTES`] long.
+    /// Decodes `bytes`, which must be [`CLAIM_BYTES`] long.
     fn decode(bytes: &[u8]) -> MemberClaim {
         MemberClaim {
             member: u16::from_be_bytes([bytes[0], bytes[1]]),
@@ -138,12 +137,12 @@
 }
 
 impl Gossip {
-    /// How many heartbeats fit into the window beside so many claims.
+    /// The number of heartbeats that fit into the window of a datagram with this many claims.
     pub fn window_capacity(claims: usize) -> usize {
         (MAX_BODY_BYTES - GOSSIP_HEADER_BYTES).saturating_sub(claims * CLAIM_BYTES) / HEARTBEAT_BYTES
     }
 
-    /// Encodes the body; claims and heartbeats that do not fit are left out.
+    /// Encodes the body; omits claims and heartbeats that do not fit.
     pub fn encode(&self) -> Vec<u8> {
         let max_claims = (MAX_BODY_BYTES - GOSSIP_HEADER_BYTES) / CLAIM_BYTES;
         let claims = &self.claims[..self.claims.len().min(max_claims)];
--- a/crates/cluster/tests/tiers/loss.rs
+++ b/crates/cluster/tests/tiers/loss.rs
@@ -1,5 +1,6 @@
-//! What a site of fifteen knows of a member that dies while 30 % of all datagrams are lost. In the trial of 12,000 hollow
-//! gateways a dead one was known in its site after 3.9 to 6.5 s, where 5 s are wanted; the slow step is not known.
+//! What a site of fifteen knows of a member that dies while 30 % of all datagrams are lost. In the trial of 12,000
+//! hollow gateways a dead one was known in its site after 3.9 to 6.5 s, where 5 s are wanted; the slow step is not
+//! known.
 use super::fleet_simulation::{Fleet, Shape};
 use std::time::Duration;
 
--- a/crates/load-sharing/src/input.rs
+++ b/crates/load-sharing/src/input.rs
@@ -4,7 +4,7 @@
 /// An event for [`LoadSharing::handle`](crate::LoadSharing::handle).
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// The stores of the gateway's own location that are up, or the number of its gateways, have changed.
+    /// The stores of the gateway's location that are up, or the number of its gateways, have changed.
     StoresChanged {
         /// The stores that are up.
         stores: Vec<ServerId>,
@@ -15,11 +15,11 @@
     LoadReport {
         /// The store.
         store: ServerId,
-        /// The load that it reported; a value out of range is ignored.
+        /// The reported load; a value out of the range from 0 to 100 is ignored.
         load: f64,
     },
     /// The body of a datagram arrived from a peer.
     Datagram(&'a [u8]),
-    /// Time has passed; a round begins if one is due.
+    /// Time has passed; starts a round if one is due (see [`LoadSharing::next_due`](crate::LoadSharing::next_due)).
     Tick,
 }
--- a/crates/load-sharing/src/lib.rs
+++ b/crates/load-sharing/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load sharing between the stores of a location, for a fleet in which each gateway sees little of their traffic
+//! Load sharing between the stores of a location, for a fleet in which each gateway sees only little of their traffic
 //! (`docs/design/spread.md`). Gateways gossip the load that stores report ([`wire`]), and each store that carries more
 //! than the mean offloads a share of its objects to others ([`LoadSharing`]). No I/O; the clock is an argument.
 mod input;
--- a/crates/load-sharing/src/load_estimate.rs
+++ b/crates/load-sharing/src/load_estimate.rs
@@ -3,23 +3,24 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Time in which the weight of an estimate decays to a third (1/e): several reports of a store, though each gateway gets
-/// few.
+/// Time in which the weight of an estimate decays to 1/e (about a third). It is long enough to cover several reports
+/// of a store, although each gateway receives few.
 const WEIGHT_DECAY_TIME: Duration = Duration::from_secs(6);
-/// Greatest weight of an estimate, in reports. It bounds the effect of gateways that count the same report repeatedly.
+/// Greatest weight of an estimate, in reports. It bounds the effect of gateways that count the same report repeatedly
+/// through gossip.
 const MAX_WEIGHT: f64 = 30.0;
-/// Least weight of an estimate that is acted on.
+/// Least weight at which an estimate is used.
 const MIN_USABLE_WEIGHT: f64 = 0.25;
 /// Weight from which on a store need not be sampled: responses and gossip suffice.
 const SUFFICIENT_WEIGHT: f64 = 3.0;
-/// Loads that are accepted in a report.
+/// Range of loads that are accepted in a report.
 const ACCEPTED_LOADS: RangeInclusive<f64> = 0.0..=100.0;
 
 /// The estimated load of one store.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LoadEstimate {
     load: f64,
-    /// The number of reports that the estimate stands for, at `updated_at`.
+    /// The weight of the estimate at `updated_at`, in reports.
     weight: f64,
     updated_at: MonotonicTime,
 }
@@ -45,7 +46,7 @@
         self.weight_at(now) < SUFFICIENT_WEIGHT
     }
 
-    /// Adds a report of the store itself; one out of range is ignored.
+    /// Adds a load report of the store; ignores one out of range.
     pub(crate) fn record_report(&mut self, now: MonotonicTime, load: f64) {
         if !ACCEPTED_LOADS.contains(&load) {
             return;
@@ -56,10 +57,10 @@
         self.updated_at = now;
     }
 
-    /// Merges the estimate of a peer; one of too little weight is ignored.
+    /// Merges the estimate of a peer; ignores one whose weight is too low.
     ///
-    /// Both may stem from the same reports, so the new weight is the mean of both, not their sum. With the larger of
-    /// the two, estimates would never decay and circulate for ever (loads oscillated by a tenth).
+    /// Both may result from the same reports, so the new weight is the mean of both, not their sum. With the larger of
+    /// the two, estimates would never decay and would circulate forever (loads oscillated by a tenth).
     pub(crate) fn merge(&mut self, now: MonotonicTime, load: f64, weight: f64) {
         if weight < MIN_USABLE_WEIGHT {
             return;
--- a/crates/load-sharing/src/load_sharing.rs
+++ b/crates/load-sharing/src/load_sharing.rs
@@ -1,4 +1,4 @@
-//! The load sharing of one gateway: it gossips load estimates and sets the offload shares of stores.
+//! The load sharing of one gateway: exchanges load estimates with peers and computes the offload shares of stores.
 use crate::input::Input;
 use crate::output::Output;
 use crate::random::Random;
@@ -13,7 +13,7 @@
 /// ms in a second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Counts of datagrams.
+/// Numbers of datagrams since the start.
 #[derive(Debug, Default)]
 struct DatagramCounts {
     sent: u64,
@@ -32,7 +32,7 @@
     quota_divisor: u64,
     random: Random,
     next_round_at: MonotonicTime,
-    /// Rounds in which a summary was sent.
+    /// Number of rounds in which a summary was sent.
     rounds_sent: u64,
     /// Whether any store offloaded objects in the last round.
     is_offloading: bool,
@@ -48,7 +48,7 @@
         position: TierPosition,
         seed: u64,
     ) -> Self {
-        // The first round is at a random time: gateways that start together must not send together.
+        // A random delay of the first round keeps gateways that start together from sending at the same time.
         let delay = Duration::from_micros(mix(seed) % duration_micros(settings.period()));
         let next_round_at = now + delay;
         LoadSharing {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Replaces the settings and the position; estimates stay.
+    /// Replaces the settings and the position; the estimates are kept.
     pub fn configure(&mut self, settings: SpreadFile, position: TierPosition) {
         self.settings = settings;
         self.position = position;
@@ -128,14 +128,14 @@
         self.settings.period_ms as f64 / MS_PER_SECOND
     }
 
-    /// The offload shares, unless there is none now and was none in the last round.
+    /// The offload shares; `None` if no store offloads objects now or did in the last round.
     fn changed_offload_shares(&mut self) -> Option<Output> {
         let shares = self.estimates.offload_shares();
         let was_offloading = std::mem::replace(&mut self.is_offloading, !shares.is_empty());
         (was_offloading || self.is_offloading).then_some(Output::OffloadShares(shares))
     }
 
-    /// Sends estimates to random peers. Where one datagram does not hold all, rounds take one part after the other.
+    /// Sends estimates to random peers. If they do not fit into one datagram, each round sends the next part.
     fn send_summary(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if self.estimates.len() == 0 || !self.position.has_peers() {
             return;
@@ -160,8 +160,9 @@
         }
     }
 
-    /// Requests load reports from stores that report rarely. Each gateway takes its part of the location's budget at
-    /// random, so that the budget holds without coordination; the result reaches the others by gossip.
+    /// Requests load reports from stores that report rarely. Each gateway samples a store with a probability that makes
+    /// all gateways together use the location's budget on average, without coordination. The results reach the other
+    /// gateways by gossip.
     fn request_samples(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let period_ms = self.settings.period_ms as f64;
         let samples_per_store = self.settings.probes_per_s * period_ms / MS_PER_SECOND;
--- a/crates/load-sharing/src/output.rs
+++ b/crates/load-sharing/src/output.rs
@@ -1,7 +1,7 @@
-//! The effects that the load sharing of a gateway asks its caller to carry out.
+//! The actions that the caller of a gateway's load sharing must carry out.
 use larchway::ServerId;
 
-/// The part of its objects that a store offloads.
+/// The share of its objects that a store offloads to other stores.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OffloadShare {
     /// The store.
@@ -10,7 +10,7 @@
     pub share: f64,
 }
 
-/// An effect to be carried out by the caller.
+/// An action for the caller to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Send a load summary to a peer.
@@ -22,6 +22,6 @@
     },
     /// Request a load report from this store.
     SampleLoad(ServerId),
-    /// The stores that offload objects; all others offload none.
+    /// The stores that offload objects from now on; all others offload none.
     OffloadShares(Vec<OffloadShare>),
 }
--- a/crates/load-sharing/src/random.rs
+++ b/crates/load-sharing/src/random.rs
@@ -1,7 +1,7 @@
 //! Seeded random fractions: the same seed gives the same sequence on every machine.
 use larchway::{mix, unit};
 
-/// 2^64 divided by the golden ratio: consecutive counts are spread over all 64 bits.
+/// 2^64 divided by the golden ratio: spreads consecutive counts over all 64 bits.
 const COUNT_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A generator of random fractions.
@@ -16,8 +16,8 @@
         Random { seed, drawn: 0 }
     }
 
-    /// A fraction above 0 and up to 1. Seed and count are hashed differently: with the same hash they would cancel out
-    /// where they are equal.
+    /// A random fraction above 0 and at most 1. Seed and count are hashed differently: with the same hash they would
+    /// cancel out when they are equal.
     pub(crate) fn fraction(&mut self) -> f64 {
         self.drawn += 1;
         unit(mix(self.seed) ^ self.drawn.wrapping_mul(COUNT_MULTIPLIER))
--- a/crates/load-sharing/src/spread_file.rs
+++ b/crates/load-sharing/src/spread_file.rs
@@ -1,4 +1,4 @@
-//! The operators' file of the load sharing, `spread.json`, and the check of its values.
+//! The operators' settings of the load sharing, `spread.json`, and the validation of their values.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
@@ -12,21 +12,22 @@
 /// Accepted values of `probes_per_s`.
 const PROBES_PER_S: RangeInclusive<f64> = 0.0..=100.0;
 
-/// The file of the load's spread under `deploy/`. Its schema is printed by `larchway schema spread`.
+/// Settings of the load sharing, in a file under `deploy/`. `larchway schema spread` prints the schema.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SpreadFile {
-    /// The field of stores' reports that tells their load, from 0 to about 1.
+    /// Name of the field of stores' load reports that contains the load, from 0 to about 1.
     #[serde(default = "field")]
     pub field: String,
-    /// ms between two rounds of datagrams and of decisions, from 100 to 10000.
+    /// Time between two rounds, in ms, from 100 to 10000. Each round sends datagrams and adjusts the offload shares.
     #[serde(default = "period_ms")]
     pub period_ms: u64,
-    /// Peers told in a round, from 0 to 8; 0: none is told, and only own reports count.
+    /// Number of datagrams to random peers in a round, from 0 to 8. With 0, gateways use only the load reports that
+    /// they receive themselves.
     #[serde(default = "fanout")]
     pub fanout: u8,
-    /// Probes of one store a second by all gateways of the location together, from 0 (none) to 100, for stores that are
-    /// not heard of often enough without. A probe costs the store work.
+    /// Load samples per second that all gateways of the location together request from a store whose load reports are
+    /// too rare, from 0 (none) to 100. Each sample is a request that the store must answer.
     #[serde(default)]
     pub probes_per_s: f64,
 }
@@ -49,7 +50,7 @@
     }
 }
 
-/// Why a file of the load sharing cannot be used.
+/// Why the load-sharing settings are rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum SpreadFileError {
     /// No field of the load reports is named.
@@ -58,19 +59,19 @@
     /// The period is out of its range.
     #[error("period_ms: {period_ms} is not from {} to {}", PERIOD_MS.start(), PERIOD_MS.end())]
     PeriodOutOfRange {
-        /// Its value.
+        /// The rejected value.
         period_ms: u64,
     },
     /// The fanout is out of its range.
     #[error("fanout: {fanout} is not from {} to {}", FANOUT.start(), FANOUT.end())]
     FanoutOutOfRange {
-        /// Its value.
+        /// The rejected value.
         fanout: u8,
     },
     /// The rate of load samples is out of its range.
     #[error("probes_per_s: {probes_per_s} is not from {} to {}", PROBES_PER_S.start(), PROBES_PER_S.end())]
     SampleRateOutOfRange {
-        /// Its value.
+        /// The rejected value.
         probes_per_s: f64,
     },
 }
--- a/crates/load-sharing/src/store_estimates.rs
+++ b/crates/load-sharing/src/store_estimates.rs
@@ -6,23 +6,23 @@
 use larchway::{mix, MonotonicTime, ServerId};
 use std::collections::BTreeMap;
 
-/// Greatest number of stores of a location that are observed; the others offload nothing.
+/// Greatest number of stores of a location with an estimate; further stores offload nothing.
 pub const MAX_STORES: usize = 4096;
-/// Ratio of a store's load to the mean up to which it is not corrected: it may be noise of the reports.
+/// Ratio of a store's load to the mean up to which it is not corrected, since it may be noise in the reports.
 const TOLERATED_LOAD_RATIO: f64 = 1.02;
 /// Least excess load, relative to the mean, that is corrected in one step.
 const MIN_EXCESS: f64 = -0.5;
 /// Greatest excess load, relative to the mean, that is corrected in one step.
 const MAX_EXCESS: f64 = 1.0;
-/// Part of the excess by which the offload share changes each second. A change shows in reports only seconds later, so a
-/// larger gain oscillates.
+/// Part of the excess by which the offload share changes each second. A change shows in reports only seconds later,
+/// so a larger gain oscillates.
 const OFFLOAD_GAIN_PER_S: f64 = 0.2;
 /// Greatest share of its objects that a store offloads.
 const MAX_OFFLOAD_SHARE: f64 = 0.6;
-/// Mean load under which imbalance does no harm.
+/// Mean load below which imbalance does no harm and is not corrected.
 const MIN_MEAN_LOAD: f64 = 0.02;
 
-/// What is known of one store.
+/// The state of one store.
 #[derive(Debug, Clone, Copy, Default)]
 struct StoreState {
     estimate: LoadEstimate,
@@ -55,7 +55,8 @@
         self.stores.len()
     }
 
-    /// Replaces the list of stores. A store that is new, or back, begins without an estimate and offloads nothing.
+    /// Replaces the list of stores. A store that was not in the previous list begins without an estimate and offloads
+    /// nothing.
     pub(crate) fn replace_stores(&mut self, mut stores: Vec<ServerId>) {
         stores.sort_unstable();
         stores.truncate(MAX_STORES);
@@ -65,7 +66,7 @@
         self.list_digest = digest(&stores);
     }
 
-    /// Adds a load report of a store; that of an unknown store is ignored.
+    /// Adds a load report of a store; ignores that of an unknown store.
     pub(crate) fn record_report(&mut self, now: MonotonicTime, store: ServerId, load: f64) {
         if let Some(state) = self.stores.get_mut(&store) {
             state.estimate.record_report(now, load);
@@ -94,7 +95,7 @@
         rarely_reported.map(|(store, _)| *store).collect()
     }
 
-    /// The mean load of the stores with a usable estimate; 0 without any.
+    /// The mean load of the stores with a usable estimate; 0 if there is none.
     pub(crate) fn mean_load(&self, now: MonotonicTime) -> f64 {
         self.mean(now).load
     }
@@ -110,10 +111,11 @@
         MeanLoad { load: sum / stores.max(1) as f64, stores }
     }
 
-    /// Has stores above the mean offload more, and the others take objects back, for a round of so many seconds.
+    /// Increases the offload shares of stores above the mean load and decreases those of the others. `seconds` is the
+    /// time since the last adjustment.
     pub(crate) fn adjust_offload(&mut self, now: MonotonicTime, seconds: f64) {
         let mean = self.mean(now);
-        // Without estimates of most stores, the mean is that of a few.
+        // Without estimates of a majority of the stores, the mean says little about the location.
         let has_majority = 2 * mean.stores > self.stores.len() && mean.stores > 1;
         let is_conclusive = has_majority && mean.load >= MIN_MEAN_LOAD;
         for state in self.stores.values_mut() {
@@ -141,11 +143,11 @@
 }
 
 impl StoreState {
-    /// Moves the offload share by the excess over the mean load. Without a mean to compare with, the store takes its
-    /// objects back: it must not go on offloading by an outdated estimate.
+    /// Changes the offload share in proportion to the excess over the mean load. Without a mean to compare with, it
+    /// decreases to 0: a store must not go on offloading because of an outdated estimate.
     fn adjust_offload(&mut self, mean_load: Option<f64>, seconds: f64) {
         let change = match mean_load {
-            // The same rule in both directions, so that the share settles where the load is even.
+            // The rule is the same in both directions, so that the share settles where the load is balanced.
             Some(mean_load) => {
                 let excess = self.estimate.load() / mean_load - TOLERATED_LOAD_RATIO;
                 excess.clamp(MIN_EXCESS, MAX_EXCESS) * OFFLOAD_GAIN_PER_S * seconds
--- a/crates/load-sharing/src/wire.rs
+++ b/crates/load-sharing/src/wire.rs
@@ -6,13 +6,13 @@
 pub const MAX_ENTRIES: usize = (MAX_BODY_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 /// Magic bytes and the version of the format.
 const MAGIC: [u8; 3] = [b'l', b's', 1];
-/// Offsets of the fields of the header, and its length.
+/// Offsets of the header's fields, and its length, in bytes.
 const ZONE_OFFSET: usize = MAGIC.len();
 const LIST_DIGEST_OFFSET: usize = 4;
 const FIRST_INDEX_OFFSET: usize = 8;
 const COUNT_OFFSET: usize = 10;
 const HEADER_BYTES: usize = 12;
-/// Length of an entry, and the offset of the weight in it.
+/// Length of an entry, and the offset of the weight in it, in bytes.
 const ENTRY_BYTES: usize = 4;
 const WEIGHT_OFFSET: usize = 2;
 /// Resolution of an encoded load.
@@ -23,28 +23,29 @@
 /// The estimated load of one store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreLoad {
-    /// Its load.
+    /// The estimated load.
     pub load: f64,
     /// The weight of the estimate when it is sent, in load reports.
     pub weight: f64,
 }
 
-/// The estimates of some stores, as one gateway has them.
+/// One gateway's estimates of consecutive stores of a list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadSummary {
-    /// The zone of the stores.
+    /// The index of the stores' zone.
     pub zone: u8,
     /// Identifies the list of stores to which the indices refer.
     pub list_digest: u32,
     /// The index in the list of the first store in `entries`.
     pub first_index: u16,
-    /// The stores from there on, at most [`MAX_ENTRIES`].
+    /// The estimates of the stores from `first_index` on, at most [`MAX_ENTRIES`].
     pub entries: Vec<StoreLoad>,
 }
 
 impl LoadSummary {
-    /// Encodes it: magic, version, zone, list digest, first index, number of entries, then load and weight of each. All
-    /// numbers are big-endian; values out of range are clamped, and entries beyond [`MAX_ENTRIES`] are left out.
+    /// Encodes the summary: magic, version, zone, list digest, first index, number of entries, then load and weight of
+    /// each entry. All numbers are big-endian; values out of range are clamped, and entries beyond [`MAX_ENTRIES`] are
+    /// omitted.
     pub fn encode(&self) -> Vec<u8> {
         let entries = &self.entries[..self.entries.len().min(MAX_ENTRIES)];
         let mut body = MAGIC.to_vec();
@@ -59,7 +60,7 @@
         body
     }
 
-    /// Decodes a body; `None` if it is of another format, truncated or too long.
+    /// Decodes a body; `None` if it has another format, is truncated or too long.
     pub fn decode(body: &[u8]) -> Option<Self> {
         let (magic, _) = body.split_first_chunk()?;
         let count = usize::from(read_u16(body, COUNT_OFFSET)?);
@@ -83,7 +84,7 @@
     Some(StoreLoad { load: f64::from(load) * LOAD_STEP, weight: f64::from(weight) * WEIGHT_STEP })
 }
 
-/// The number of steps nearest to a value, within the range of two bytes.
+/// The value as the nearest number of steps, clamped to two bytes.
 fn quantize(value: f64, step: f64) -> u16 {
     (value / step).round().clamp(0.0, f64::from(u16::MAX)) as u16
 }
--- a/crates/load-sharing/src/wire/tests.rs
+++ b/crates/load-sharing/src/wire/tests.rs
@@ -18,12 +18,12 @@
     assert_eq!(LoadSummary::decode(&[bytes, vec![0; 4]].concat()), None);
 }
 
-/// Gateways of different versions exchange these bytes.
+/// Gateways of different versions exchange these bytes, so the encoding must not change.
 #[test]
 fn the_encoding_is_stable() {
     let entries = vec![
         StoreLoad { load: 0.5, weight: 2.5 },
-        // Rounded to the nearest step, and clamped to the range of two bytes.
+        // Values between two steps are rounded to the nearest, and values out of range are clamped to two bytes.
         StoreLoad { load: 0.3, weight: 0.01 },
         StoreLoad { load: 100.0, weight: 2000.0 },
     ];
