--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -1,5 +1,4 @@
-//! Attempts in flight, until their first byte is written: what each waits for and whether it may still be
-//! sent.
+//! Attempts in flight: their deadlines, and the check before their first byte is written that they may still be sent.
 use super::origin::OriginFetch;
 use super::requests::OpenRequest;
 use super::Core;
@@ -9,35 +8,35 @@
 use larchway::{Effect, Get, MonotonicTime, ServerId, Status};
 use std::time::Duration;
 
-/// How long the first byte of a retry is given to reach its store.
+/// Time allowed for the first byte of a retry to reach its store.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(10);
 
-/// How long a store is given at least: the unit in which a request states how long the gateway
-/// waits. With less left nothing is sent, since it would state more than there is.
+/// The shortest time for which a store can be asked to answer: requests state the wait in whole milliseconds. With
+/// less time left nothing is sent, since the request would state a longer wait than the client's.
 pub(super) const SHORTEST_WAIT: Duration = Duration::from_millis(1);
 
 /// An attempt that has not ended.
 pub struct Attempt {
-    /// The request that it is made for.
+    /// The request that it belongs to.
     pub(super) request: Key,
     /// Its number among the attempts of that request.
     pub(super) number: u64,
-    /// What the module decided.
+    /// The decision of the module: the store, the source and the conditions.
     pub(super) get: Get,
     /// When the module decided it.
     pub(super) created_at: MonotonicTime,
-    /// When its first byte was written.
+    /// When its first byte was written; none before that.
     pub(super) first_byte_at: Option<MonotonicTime>,
-    /// The connection that carries it.
+    /// The connection that carries it; none while it waits for one.
     pub connection: Option<Key>,
-    /// Whether it has left a broken connection for another.
+    /// Whether it was moved once from a broken connection to another one.
     pub(super) reconnected: bool,
-    /// What the shield has admitted for it.
+    /// The fetch from the origin that the shield has admitted for it, if it needs one.
     pub(super) fetch: Option<OriginFetch>,
 }
 
 impl Attempt {
-    /// An attempt that was decided now.
+    /// An attempt created now, of which nothing is written yet.
     pub(super) fn new(
         now: MonotonicTime,
         request: Key,
@@ -57,16 +56,16 @@
         }
     }
 
-    /// When it is given up, as an attempt of this request.
+    /// When it is abandoned: at its own stop time, or at the deadline of its request if that is earlier.
     pub(super) fn deadline(&self, request: &OpenRequest) -> MonotonicTime {
         self.get.stop_at.map_or(request.deadline, |at| at.min(request.deadline))
     }
 }
 
 impl Core {
-    /// Whether the first byte of an attempt may be written now. Danger: it has waited for its connection, and
-    /// meanwhile its client may have left or been answered, and its time or that of its idempotency key may
-    /// be over.
+    /// Whether the first byte of an attempt may be written now; withdraws the attempt if not. While it waited for its
+    /// connection, its client may have left or been answered, its deadline may have passed, or stores may have
+    /// forgotten its idempotency key, so that a retry would run twice.
     pub fn may_send(&mut self, now: MonotonicTime, key: Key) -> bool {
         let Some(attempt) = self.attempts.get(key) else { return false };
         let is_sendable = self.requests.get(attempt.request).is_some_and(|open| {
@@ -80,9 +79,9 @@
         is_sendable
     }
 
-    /// Whether stores would no longer drop a retry under the request's idempotency key, counted from the
-    /// first attempt that has run or may be running. The module decided by the same rule, but before the
-    /// wait.
+    /// Whether the deduplication window of the request's idempotency key is over, counted from the first attempt that
+    /// has run or may be running: stores would run a retry again. The module applied the same rule, but before the
+    /// attempt waited for a connection.
     fn deduplication_lapsed(&self, now: MonotonicTime, open: &OpenRequest) -> bool {
         let Some(slot) = self.classes.get(open.request.class) else {
             return false;
@@ -93,7 +92,7 @@
             && first.is_some_and(|at| now + TRANSIT_ALLOWANCE >= at + slot.settings.class.window)
     }
 
-    /// The first byte of an attempt is written.
+    /// Records that the first byte of an attempt is written.
     pub fn record_first_byte(&mut self, now: MonotonicTime, key: Key) {
         self.unsent_attempts.remove(&key);
         if let Some(attempt) = self.attempts.get_mut(key) {
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Whether an attempt belongs to a request that is not idempotent by itself.
+    /// Whether an attempt belongs to a class whose requests are not idempotent by themselves.
     pub fn has_side_effects(&self, key: Key) -> bool {
         let class = self.request_of(key).and_then(|open| self.classes.get(open.request.class));
         class.is_some_and(|slot| slot.settings.class.effect != Effect::Idempotent)
@@ -112,13 +111,13 @@
         self.attempts.get_mut(key)
     }
 
-    /// The store that an attempt goes to, and the id it is sent under.
+    /// The store that an attempt goes to, and the call id under which it is sent.
     pub fn target(&self, key: Key) -> Option<(ServerId, &str)> {
         let attempt = self.attempts.get(key)?;
         Some((attempt.get.server, &self.requests.get(attempt.request)?.request.call_id))
     }
 
-    /// The connection of the client for whom an attempt is made, while that waits for its reply.
+    /// The connection of the client whose request an attempt belongs to, while the client waits for its reply.
     pub fn client_connection(&self, key: Key) -> Option<Key> {
         self.request_of(key).filter(|open| !open.answered).map(|open| open.reply_to.connection)
     }
@@ -127,19 +126,19 @@
         self.attempts.get(key).and_then(|attempt| self.requests.get(attempt.request))
     }
 
-    /// Whether the store of an attempt is informed of a copy that the client holds.
+    /// Whether the client stated the entity tag of its own copy, so that the store may reply that it is current.
     pub fn has_client_tag(&self, key: Key) -> bool {
         self.request_of(key).is_some_and(|open| open.request.client_tag.is_some())
     }
 
-    /// Whether an attempt whose connection broke before a byte was written may use another one; true once.
+    /// Whether an attempt whose connection broke before a byte was written may use another connection. Returns true
+    /// only once per attempt.
     pub fn reconnect_once(&mut self, key: Key) -> bool {
         self.attempts.get_mut(key).is_some_and(|attempt| !std::mem::replace(&mut attempt.reconnected, true))
     }
 
-    /// Sends an attempt again after a backoff, because this machine had no capacity to connect for it.
-    /// Returns false once `patience` has passed since it was decided: then another store may have a
-    /// connection.
+    /// Sends an attempt again after a backoff, because this machine had no capacity to connect for it. Returns false
+    /// once `max_wait` has passed since the attempt was created: another store may have a connection.
     pub fn resend_after_backoff(&mut self, now: MonotonicTime, key: Key, max_wait: Duration) -> bool {
         let Some(attempt) = self.attempts.get(key) else { return false };
         let waited = now.saturating_since(attempt.created_at);
--- a/gateway/src/core/decisions.rs
+++ b/gateway/src/core/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision module: feeds it events, executes its actions and runs its timers.
+//! The interface to the decision module: feeds it events, executes its actions and runs its timers.
 use super::attempts::Attempt;
 use super::messages::{Command, FailureCause};
 use super::origin::FetchAdmission;
@@ -9,11 +9,11 @@
 use larchway_operations::RequestEnd;
 use std::time::Duration;
 
-/// Stands in a request's list for an attempt that the shield refused, which never had a slot.
+/// Placeholder in a request's list for an attempt that the shield refused, which never had a slot.
 const NO_ATTEMPT: Key = Key(u64::MAX);
 
 impl Core {
-    /// A deadline of a request, an attempt or the module has come; other deadlines are not the core's.
+    /// Handles an expired deadline of a request, an attempt or the module; ignores the deadlines of connections.
     pub fn handle_deadline(&mut self, now: MonotonicTime, due: Due) {
         match due {
             Due::Module(mark) => self.handle_event(now, Event::Timer(mark)),
@@ -24,11 +24,11 @@
         }
     }
 
-    /// The deadline of a request has come: its attempts time out, and without a reply by then it fails.
+    /// Handles the deadline of a request: its attempts time out, and without a reply by then it fails.
     fn expire_request(&mut self, now: MonotonicTime, key: Key) {
         let Some(open) = self.requests.get(key).filter(|open| !open.answered) else { return };
         let (ends_with_process, attempts) = (open.ends_with_process, open.attempts.clone());
-        // The module knows nothing of the process's end, and would begin another attempt.
+        // Fails it first: the module does not know that the process ends, and would begin another attempt.
         if ends_with_process {
             self.fail_overdue(now, key);
         }
@@ -38,7 +38,7 @@
         self.fail_overdue(now, key);
     }
 
-    /// Gives the module an event, and executes its actions until they cause no further event.
+    /// Passes an event to the module, and executes its actions until they cause no further event.
     pub(super) fn handle_event(&mut self, now: MonotonicTime, event: Event) {
         self.events.push_back(event);
         let mut actions = std::mem::take(&mut self.actions);
@@ -99,7 +99,7 @@
         self.commands.push_back(Command::SendAttempt(key));
     }
 
-    /// Fails a request for which the module has no attempt left.
+    /// Fails a request that the module has given up.
     fn fail(&mut self, now: MonotonicTime, request: Key) {
         let late = self.requests.get(request).is_some_and(|open| now >= open.deadline);
         let cause = if late { FailureCause::DeadlineExceeded } else { FailureCause::Unserved };
@@ -107,8 +107,8 @@
     }
 }
 
-/// The outcome of an attempt that the shield refused, of a request that is still open: the module decided before
-/// the shield's final answer, and decides again at once.
+/// The outcome of an attempt that the shield refused while its request is open. The module decides again at once: it
+/// had decided on the attempt before the shield was asked for admission.
 fn refused_by_shield(request: Key, attempt: u64) -> Outcome {
     Outcome {
         id: request.0,
--- a/gateway/src/core/endpoints.rs
+++ b/gateway/src/core/endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoint list and purges, as they concern the module, the stores known here and attempts that are not sent
-//! yet.
+//! Changes of the endpoint list and purges: applied to the module, the table of listed stores, the object cache and
+//! the attempts that are not sent yet.
 use super::attempts::Attempt;
 use super::Core;
 use crate::bulletin::Change;
@@ -20,9 +20,9 @@
 }
 
 impl Core {
-    /// Applies a change of the list or a purge. An attempt that still waits for its connection was decided
-    /// before it: one that it concerns is withdrawn, so that nothing goes to a store after its drain was
-    /// announced and no old copy is asked for after a purge was announced.
+    /// Applies a change of the list or a purge. Withdraws the affected attempts that still wait for a connection, so
+    /// that nothing is sent to a store after its drain was announced, and no outdated copy is accepted after a purge
+    /// was announced.
     pub fn apply_event(&mut self, now: MonotonicTime, change: &Change) {
         let event = match *change {
             Change::EndpointList { scope, ref endpoints } => {
@@ -48,7 +48,7 @@
         self.withdraw_affected(now, change);
     }
 
-    /// Withdraws the attempts of which no byte is written and that a change makes wrong.
+    /// Withdraws the attempts that a change invalidates and of which no byte is written.
     fn withdraw_affected(&mut self, now: MonotonicTime, change: &Change) {
         let is_affected = |key: &Key| {
             let attempt = self.attempts.get(*key);
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Whether a change makes what was decided for an attempt wrong.
+    /// Whether a change invalidates the decision for an attempt: it purges the object, or the store or the source is
+    /// no longer up.
     fn affects(&self, change: &Change, attempt: &Attempt) -> bool {
         match *change {
             Change::Purge { object, group, .. } => {
@@ -84,7 +85,7 @@
             self.origin_fetchers.clear();
         }
         for Endpoint { host, name, .. } in endpoints {
-            // Removed stores are forgotten: over weeks of replaced stores the table would grow without end.
+            // Without this the table would grow without bound as stores are replaced over weeks.
             if host.state == State::Removed {
                 self.stores.remove(&host.server);
                 self.origin_fetchers.remove(&host.server);
@@ -97,17 +98,17 @@
         }
     }
 
-    /// The shares of objects' home parents have changed.
+    /// Passes changed weights of the parents to the module.
     pub fn set_parent_weights(&mut self, now: MonotonicTime, weights: ParentWeights) {
         self.handle_event(now, Event::ParentWeights(Some(weights)));
     }
 
-    /// The gateways' joint view says which share of its work each store sheds.
+    /// Sets the share of its objects that each store offloads, as the gateways' joint view of the load has it.
     pub fn set_shed_shares(&mut self, now: MonotonicTime, shares: Vec<(ServerId, f64)>) {
         self.handle_event(now, Event::OffloadShares(shares.into_iter().collect()));
     }
 
-    /// Starts of stores turned out to be earlier than the list said.
+    /// Notifies the module of stores that started earlier than assumed so far.
     pub fn correct_starts(&mut self, now: MonotonicTime, earlier: Vec<DatedStart>) {
         if !earlier.is_empty() {
             info!(stores = earlier.len(), "starts of stores turn out to be earlier");
@@ -115,22 +116,22 @@
         }
     }
 
-    /// Another gateway found that a store fails.
+    /// Notifies the module that another gateway has found a store failing.
     pub fn mark_suspected(&mut self, now: MonotonicTime, store: ServerId) {
         self.handle_event(now, Event::Suspected(store));
     }
 
-    /// The stores that are warming up now.
+    /// The stores that are in slow start now.
     pub fn warming(&self, now: MonotonicTime) -> impl Iterator<Item = ServerId> + '_ {
         self.router.warming(now)
     }
 
-    /// Requests that the module has given up by itself, by the reason.
+    /// Requests that the module has rejected by its own rules, by reason.
     pub fn rejections(&self) -> RejectionCounts {
         self.router.rejections()
     }
 
-    /// The stores that the module avoids now by its own choice.
+    /// The stores that the module avoids now because of their failures.
     pub fn avoided(&self, now: MonotonicTime) -> impl Iterator<Item = ServerId> + '_ {
         self.router.avoided(now)
     }
--- a/gateway/src/core/messages.rs
+++ b/gateway/src/core/messages.rs
@@ -13,18 +13,18 @@
     pub sequence: u64,
 }
 
-/// A request as a front hands it over, with the fields that are forwarded unchanged.
+/// A client's request as a front passes it to the core, with the fields that are forwarded unchanged.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
     /// The class, by its slot in the settings.
     pub class: usize,
-    /// The id under which stores know the request.
+    /// The id under which the request is sent to stores.
     pub call_id: String,
     /// The object, as the client wrote it.
     pub object_name: String,
-    /// The object, as the decision module and the endpoint list know it.
+    /// The id of the object in the decision module and in purges.
     pub object: u64,
-    /// The part of the object.
+    /// The number of the part of the object.
     pub part: u64,
     /// The group of objects that a purge may name.
     pub group: u64,
@@ -51,11 +51,11 @@
     Unserved,
 }
 
-/// The time after which a client may come back that is rejected for want of capacity, where it may be advised
-/// so: what is in flight has replies to write, which takes moments.
+/// `Retry-After` for a client that is rejected because this gateway has no capacity: the replies in flight are
+/// written, and capacity is free again, within moments.
 pub const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The reply of a store, or of a cached copy, as a front passes it on.
+/// The reply of a store, or from a cached copy, as a front forwards it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServedReply<'a> {
     /// Whether the client's own copy is current, so that no bytes are sent.
@@ -71,16 +71,16 @@
 pub enum FinalReply<'a> {
     /// Served.
     Served(ServedReply<'a>),
-    /// Rejected; the client may retry after this span, or at will if it is 0.
+    /// Rejected; the client may retry after this time, or at any time if it is 0.
     Rejected(Duration),
     /// Failed.
     Failed(FailureCause),
 }
 
-/// What the connections have to do next.
+/// An instruction of the core to the connections.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Assign the attempt to a connection and send it.
+    /// Assign this attempt to a connection and send it.
     SendAttempt(Key),
     /// Abandon an attempt on the connection that carries it.
     AbandonAttempt {
@@ -93,13 +93,13 @@
     },
     /// Final reply: served from the gateway's own cache.
     ReplyFromCache(ReplyHandle, CacheHit),
-    /// Final reply: rejected; the client may retry after this span.
+    /// Final reply: rejected; the client may retry after this time.
     ReplyRejected(ReplyHandle, Duration),
     /// Final reply: failed.
     ReplyFailed(ReplyHandle, FailureCause),
 }
 
-/// How an attempt ended, with what its store reported.
+/// How an attempt ended, and what its store reported with its reply.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptResult {
     /// Whether and how the store answered.
@@ -108,7 +108,7 @@
     pub note: Note,
     /// How long the store waited for the source of the reply, as it reported; zero if it did not.
     pub source_wait: Duration,
-    /// The store's load, by the order of the names in the settings; empty if it reported none.
+    /// The values of the store's load report, in the order of the names in the settings; empty if it reported none.
     pub load: Vec<f64>,
 }
 
@@ -119,7 +119,7 @@
     }
 }
 
-/// The load that a store has reported.
+/// One load report of a store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
     /// The store.
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -1,6 +1,6 @@
-//! The core of the gateway: requests, attempts and their outcomes. It feeds the decision module its events
-//! and executes its actions, and gives each request exactly one final reply. It knows no wire and no socket,
-//! and takes the time as an argument.
+//! The core of the gateway: requests, attempts and their outcomes. It feeds the decision module its events and
+//! executes its actions, and gives each request exactly one final reply. It depends on no protocol and no socket, and
+//! takes the time as an argument.
 mod attempts;
 mod decisions;
 mod endpoints;
@@ -39,27 +39,27 @@
 /// The requests and attempts of one gateway, and the decision module that they go through.
 pub struct Core {
     router: Router,
-    /// The classes by slot: each request holds its own until its end.
+    /// The classes by slot; a slot stays in use until its last request has ended.
     pub classes: ClassTable<ClassSettings>,
-    /// The figures of requests and attempts that operators read.
+    /// Request counters for operators.
     pub counters: RequestCounters,
     requests: Slots<OpenRequest>,
     open_call_ids: BTreeSet<String>,
     attempts: Slots<Attempt>,
-    /// The attempts of which no byte is written: what a purge or a drain may still hold back.
+    /// The attempts of which no byte is written, which a purge or a drain can still withdraw.
     unsent_attempts: BTreeSet<Key>,
     stores: BTreeMap<ServerId, ListedStore>,
     shield: Option<OriginAdmission>,
     /// The hub of each parent.
     hubs: BTreeMap<ServerId, String>,
-    /// The stores that fetch from the origin, and the kinds of machine that do.
+    /// The stores that fetch from the origin: those of the machine kinds below.
     origin_fetchers: BTreeSet<ServerId>,
     origin_fetcher_kinds: [Option<usize>; 2],
     gateway_count: u64,
     /// The hop of this gateway, where stores accept the list of proxies passed.
     pub own_hop: Option<OwnHop>,
     loop_detector: Option<LoopDetector>,
-    /// Parents that fills have made suspect of a loop; emptied by whoever reads them.
+    /// Parents newly suspected to be in a loop because of their fills; the event loop takes them out.
     pub suspected_parents: Vec<ServerId>,
     /// Events that the module has not handled yet.
     events: VecDeque<Event>,
@@ -67,23 +67,23 @@
     actions: Vec<Action>,
     /// The object cache, if one is configured.
     pub object_cache: Option<ObjectCache>,
-    /// How long a store may still serve what was purged.
+    /// How long after a purge a store may still serve a purged copy.
     purge_window: Duration,
     /// Whether a complete list of stores was received.
     pub has_endpoints: bool,
-    /// When all must be answered because the process ends.
+    /// When all requests must be answered because the process ends; none while it is not shutting down.
     answer_all_before: Option<MonotonicTime>,
-    /// What the connections have to do, in order.
+    /// Instructions for the connections, in order.
     pub commands: VecDeque<Command>,
     /// All deadlines, those of connections included.
     pub deadlines: Deadlines,
     /// Bytes of the bodies of open requests.
     pub request_body_bytes: usize,
-    /// The index of the load in stores' reports, where the gateways share their view of it.
+    /// The index of the load value in stores' reports, if the gateways share their view of the load.
     pub load_field: Option<usize>,
-    /// The loads that stores have reported there; emptied by whoever reads them.
+    /// The reported load values; the event loop takes them out.
     pub load_reports: Vec<LoadReport>,
-    /// What ended attempts showed of their stores, if it is collected; emptied after each event.
+    /// What ended attempts showed of the health of their stores, if it is collected; emptied after each event.
     pub evidence: Option<Vec<EndpointEvidence>>,
 }
 
--- a/gateway/src/core/object_cache.rs
+++ b/gateway/src/core/object_cache.rs
@@ -1,5 +1,4 @@
-//! The gateway's own cached copies: answering from them, adding to them, and invalidating those that a purge
-//! may concern.
+//! The gateway's own cached copies: lookups, insertions, and the invalidation of copies that a purge may affect.
 use super::messages::Request;
 use super::Core;
 use crate::clock::wire::CopyTimes;
@@ -8,7 +7,7 @@
 use larchway_object_cache::{CacheHit, CacheKey, CachedObject, Lookup};
 use std::time::Duration;
 
-/// A copy issued before a purge may still come from a store for this many purge windows.
+/// Number of purge windows for which a store may still reply with a copy issued before a purge.
 const PURGE_WINDOWS: u32 = 2;
 
 /// The key of the cached copy that would answer a request.
@@ -17,8 +16,7 @@
 }
 
 impl Core {
-    /// The cached copy that answers a request, if there is one. Writes and other uncacheable requests have
-    /// none.
+    /// The cached copy that answers a request, if there is one; never for writes and other uncacheable requests.
     pub(super) fn lookup_cached(
         &mut self,
         now: MonotonicTime,
@@ -39,7 +37,7 @@
         cache.lookup(now, cache_key(request), lookup)
     }
 
-    /// Caches the bytes with which an attempt was served, if there is a cache and the request is cacheable.
+    /// Caches the bytes of an attempt's reply, if there is a cache and the request is cacheable.
     pub fn cache_copy(
         &mut self,
         now: MonotonicTime,
@@ -64,15 +62,15 @@
         }
     }
 
-    /// For how long copies issued before a purge may still come from stores.
+    /// For how long stores may still reply with copies issued before a purge.
     pub(super) fn purge_retention(&self) -> Duration {
-        // A running attempt was decided before: what it brings may be that old for as long as it lasts.
+        // Attempts in flight were decided before the purge, and may return an older copy until they end.
         let longest = self.classes.slots().iter().map(|slot| slot.settings.deadline).max();
         self.purge_window * PURGE_WINDOWS + longest.unwrap_or_default()
     }
 
-    /// Events are missing, and may have been purges: all cached copies are invalid, and so are those issued
-    /// up to `issued`, the latest issue time that can have been announced by now.
+    /// Handles a gap in the events, in which purges may be missing: invalidates all cached copies, and those to come
+    /// that were issued up to `issued`, the latest issue time that a missed purge can have.
     pub fn invalidate_copies(&mut self, now: MonotonicTime, issued: MonotonicTime) {
         let retention = self.purge_retention();
         if let Some(cache) = &mut self.object_cache {
@@ -80,7 +78,7 @@
         }
     }
 
-    /// Purges up to now may have been missed: stores are asked for copies that are young enough.
+    /// Notifies the module that purges up to now may have been missed, so that it asks stores for newer copies only.
     pub fn purges_missed(&mut self, now: MonotonicTime) {
         self.handle_event(now, Event::PurgesMissed);
     }
--- a/gateway/src/core/origin.rs
+++ b/gateway/src/core/origin.rs
@@ -1,4 +1,4 @@
-//! Fetches from the origin: the shield that limits them, and what fills show of loops among parents.
+//! Fetches from the origin: the shield that limits them, and the inference of loops among parents from fills.
 use super::messages::Request;
 use super::Core;
 use crate::slots::Key;
@@ -12,34 +12,34 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The usual time of a fill, where no shield has measured it.
+/// The usual time of a fill, used while no shield has measured it.
 const ASSUMED_FILL_TIME: Duration = Duration::from_millis(100);
 
 /// A fetch from the origin that the shield has admitted.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum OriginFetch {
-    /// A part of an object, by way of a hub.
+    /// A part of an object, through a hub.
     Object {
         /// The hub.
         hub: String,
         /// The part, as [`part_key`] names it.
         part: u64,
     },
-    /// A write, which goes before all fills.
+    /// A write, which takes precedence over all fills.
     Write,
 }
 
-/// Whether an attempt may be sent, as far as the shield is concerned.
+/// The shield's decision on the fetch that an attempt needs.
 pub(super) enum FetchAdmission {
-    /// It fetches nothing from the origin, or joins a fetch that is running.
+    /// The attempt needs no fetch from the origin of its own, or joins one in flight.
     NotNeeded,
-    /// It may fetch.
+    /// The fetch is admitted.
     Admitted(OriginFetch),
-    /// It may not.
+    /// The fetch is refused.
     Refused,
 }
 
-/// How the fill that an attempt needed has ended.
+/// The end of an attempt, as far as the fill that it needed is concerned.
 #[derive(Clone, Copy)]
 pub(super) struct FillResult {
     /// How the attempt ended.
@@ -50,20 +50,20 @@
     pub(super) time: Duration,
 }
 
-/// What the fills by parents have shown.
+/// Infers loops by the results of the fills through each parent.
 pub(super) struct LoopDetector {
     settings: LoopInferenceSettings,
     parents: BTreeMap<ServerId, LoopInference>,
 }
 
-/// Names a part of an object towards the shield.
+/// The key of a part of an object at the shield.
 pub(super) fn part_key(request: &Request) -> u64 {
     larchway::mix(request.object ^ larchway::mix(request.part + 1))
 }
 
 impl Core {
-    /// Sets the shield of the origin, or removes it; `hubs` has the hub of each parent. What a shield has
-    /// learned stays while its settings do.
+    /// Sets the shield of the origin, or removes it; `hubs` has the hub of each parent. A shield with unchanged
+    /// settings keeps its learned state.
     pub fn configure_shield(
         &mut self,
         settings: Option<AdmissionSettings>,
@@ -71,7 +71,7 @@
     ) {
         self.hubs = hubs;
         if let Some(detector) = &mut self.loop_detector {
-            // Parents that have left leave nothing behind.
+            // The state of parents that have left is dropped.
             detector.parents.retain(|id, _| self.hubs.contains_key(id));
         }
         if self.shield.as_ref().map(OriginAdmission::settings) != settings {
@@ -82,15 +82,14 @@
         }
     }
 
-    /// Infers loops from the ends of fills, or stops that.
+    /// Sets how loops are inferred from the results of fills, or turns the inference off.
     pub fn configure_loop_inference(&mut self, settings: Option<LoopInferenceSettings>) {
         if self.loop_detector.as_ref().map(|detector| &detector.settings) != settings.as_ref() {
             self.loop_detector = settings.map(|settings| LoopDetector { settings, parents: BTreeMap::new() });
         }
     }
 
-    /// A fill by way of a parent has ended: a run of them that are rejected or time out is the sign of a
-    /// loop.
+    /// Records the end of a fill through a parent. A run of fills that are rejected or time out indicates a loop.
     pub(super) fn observe_fill(&mut self, now: MonotonicTime, source: ServerId, result: FillResult) {
         let FillResult { status, note, time } = result;
         let usual_fill_time =
@@ -99,7 +98,7 @@
         if !self.hubs.contains_key(&source) || matches!(status, Status::Cancelled | Status::NeverSent) {
             return;
         }
-        // A reply from the cache says nothing of the parent.
+        // A reply from the store's own cache says nothing about the parent.
         if status == Status::Ok && matches!(note, Note::Hit | Note::Stale) {
             return;
         }
@@ -121,12 +120,12 @@
         self.shield.as_ref()
     }
 
-    /// Whether requests of a class are never answered from a cache.
+    /// Whether requests of a class must not be answered from a cache.
     pub(super) fn uncacheable(&self, class: usize) -> bool {
         self.classes.get(class).is_some_and(|slot| slot.settings.class.uncacheable)
     }
 
-    /// Whether the shield admits the fetch that an attempt needs, if it needs one.
+    /// Asks the shield to admit the fetch that an attempt needs, if it needs one.
     pub(super) fn admit_fetch(&mut self, now: MonotonicTime, request: Key, get: &Get) -> FetchAdmission {
         let fetches =
             get.source != get.server && !get.cached_only && self.origin_fetchers.contains(&get.source);
@@ -162,14 +161,14 @@
     }
 }
 
-/// What the end of an attempt shows of the fetch that was admitted for it.
+/// The end of a fetch, by the end of the attempt that it was admitted for.
 fn fetch_end(status: Status, note: Note) -> FetchEnd {
     match (status, note) {
         (_, Note::OriginFailed) => FetchEnd::Failed,
         (Status::Ok, Note::FilledByOrigin) => FetchEnd::Delivered,
         (Status::Ok, Note::Hit | Note::Stale | Note::Filled) => FetchEnd::OriginNotAsked,
         (Status::Miss, _) => FetchEnd::NotFound,
-        // One that timed out may have waited for the origin.
+        // An attempt that timed out may have waited for the origin.
         (Status::Timeout, _) => FetchEnd::Failed,
         _ => FetchEnd::Cancelled,
     }
--- a/gateway/src/core/outcomes.rs
+++ b/gateway/src/core/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts: what they show of their stores, and what is reported of them to the module.
+//! The ends of attempts: evidence of their stores' health, and the outcomes reported to the module.
 use super::attempts::Attempt;
 use super::messages::{AttemptResult, Command, LoadReport, ReplyHandle};
 use super::origin::FillResult;
@@ -10,7 +10,7 @@
 use larchway_operations::RequestEnd;
 use std::time::Duration;
 
-/// What the end of an attempt shows of its store.
+/// The evidence of a store's health that the end of an attempt gives; none if this side ended it.
 fn evidence_of(status: Status) -> Option<Evidence> {
     match status {
         Status::ConnectFailed => Some(Evidence::Refused),
@@ -22,7 +22,7 @@
 }
 
 impl Core {
-    /// An attempt has ended without a reply from its store.
+    /// Ends an attempt that got no reply from its store.
     pub fn end_attempt(
         &mut self,
         now: MonotonicTime,
@@ -33,7 +33,7 @@
         self.end_attempt_with_reply(now, key, AttemptResult::without_reply(status, note))
     }
 
-    /// An attempt has ended. If its reply is the final one, returns where it goes.
+    /// Ends an attempt. If its reply is the final one of the request, returns where it goes.
     pub fn end_attempt_with_reply(
         &mut self,
         now: MonotonicTime,
@@ -80,7 +80,7 @@
         served
     }
 
-    /// Takes an attempt out of the tables.
+    /// Removes an attempt from the tables.
     fn remove_attempt(&mut self, key: Key) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         self.unsent_attempts.remove(&key);
@@ -96,15 +96,15 @@
         }
     }
 
-    /// A store has reported its load, in the order of the names in the settings.
+    /// Records a load report of a store; `load` is in the order of the names in the settings.
     pub fn record_load_report(&mut self, store: ServerId, load: &[f64]) {
         if let Some(value) = self.load_field.and_then(|field| load.get(field)) {
             self.load_reports.push(LoadReport { store, load: *value });
         }
     }
 
-    /// Withdraws the attempts of an answered request of which no byte is written, also where those that are
-    /// sent must not be cancelled: nothing begins any more for its client.
+    /// Withdraws the attempts of an answered request of which no byte is written, also in classes whose sent attempts
+    /// must not be cancelled: no new work begins for a request that has its reply.
     pub(super) fn withdraw_unsent(&mut self, now: MonotonicTime, request: Key) {
         let Some(open) = self.requests.get(request) else { return };
         let is_unsent =
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Ends an attempt from this side and lets the module decide again; one that was never written never ran.
+    /// Ends an attempt from this side and lets the module decide again. An attempt of which no byte was written has
+    /// certainly not run.
     pub(super) fn withdraw(&mut self, now: MonotonicTime, key: Key, status: Status) {
         let Some(attempt) = self.attempts.get(key) else { return };
         let never_sent = attempt.first_byte_at.is_none() && status != Status::Timeout;
@@ -150,7 +151,7 @@
         self.remove_if_finished(attempt.request);
     }
 
-    /// Has the connection that carries an attempt abandon it, if there is one.
+    /// Instructs the connection that carries an attempt to abandon it, if there is one.
     fn abandon_on_connection(&mut self, connection: Option<Key>, attempt: Key, request: Key) {
         if let (Some(connection), Some(open)) = (connection, self.requests.get(request)) {
             let call_id = open.request.call_id.clone();
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: their admission, and the one final reply that each gets.
+//! Requests in flight: their admission, and exactly one final reply for each.
 use super::messages::{Command, FailureCause, ReplyHandle, Request};
 use super::origin::part_key;
 use super::Core;
@@ -9,16 +9,15 @@
 use larchway_operations::RequestEnd;
 use std::time::Duration;
 
-/// The final reply goes out some time before the client's own deadline: the request was on its way for a
-/// while when it arrived, and the reply needs its time too. This margin is a fraction of the client's wait,
-/// within bounds.
+/// The final reply is sent before the client's own deadline, since the request and the reply both spend time on the
+/// network. This margin is the client's timeout divided by this number, within bounds.
 const REPLY_MARGIN_DIVISOR: u64 = 16;
-/// The largest margin.
+/// The largest reply margin.
 pub(super) const LONGEST_REPLY_MARGIN: Duration = Duration::from_millis(30);
-/// The smallest margin.
+/// The smallest reply margin.
 const SHORTEST_REPLY_MARGIN: Duration = Duration::from_millis(2);
 
-/// The key returned for a request that was answered at once and holds no slot.
+/// The key returned for a request that was answered from the cache and has no slot.
 const ANSWERED_FROM_CACHE: Key = Key(u64::MAX);
 
 /// A request that has not ended.
@@ -29,15 +28,15 @@
     pub(super) request: Request,
     /// When its final reply is due.
     pub(super) deadline: MonotonicTime,
-    /// Its attempts by number; those that have ended are no longer in the table.
+    /// Its attempts by number; those that have ended are no longer in the table of attempts.
     pub(super) attempts: Vec<Key>,
     /// How many of its attempts have not ended.
     pub(super) running_attempts: usize,
-    /// Whether its final reply was given.
+    /// Whether its final reply was sent.
     pub(super) answered: bool,
-    /// Whether the process's end cut its deadline short.
+    /// Whether its deadline was shortened because the process ends.
     pub(super) ends_with_process: bool,
-    /// When the first of its ended attempts began that may have run.
+    /// When the first byte was written of the earliest ended attempt that may have run.
     pub(super) first_possible_run_at: Option<MonotonicTime>,
 }
 
@@ -50,13 +49,13 @@
             attempts: Vec::new(),
             running_attempts: 0,
             answered: false,
-            // One that arrives after the end was announced has a deadline before it.
+            // The deadline of a request that arrives during shutdown lies before the end already.
             ends_with_process: false,
             first_possible_run_at: None,
         }
     }
 
-    /// Its state as the decision module takes it.
+    /// Its state for the decision module.
     pub(super) fn state(&self) -> RequestState {
         if self.answered {
             RequestState::Closed
@@ -66,7 +65,7 @@
     }
 }
 
-/// How long the gateway takes for a request whose client waits this long.
+/// How long the gateway may take for a request with this timeout of the client.
 fn time_to_answer(timeout: Duration) -> Duration {
     let share = Duration::from_micros(duration_micros(timeout) / REPLY_MARGIN_DIVISOR);
     let margin = share.clamp(SHORTEST_REPLY_MARGIN, LONGEST_REPLY_MARGIN);
@@ -74,8 +73,8 @@
 }
 
 impl Core {
-    /// The longest `Retry-After` that a client may receive, up to `wanted`: by the settings of its class, or
-    /// by those in force where no class is known.
+    /// `wanted`, or the longest `Retry-After` allowed if that is shorter: by the settings of the class, or by those
+    /// of the first class in force if the class is unknown.
     pub fn retry_after(&self, class: Option<usize>, wanted: Duration) -> Duration {
         let settings = class.and_then(|slot| self.classes.get(slot)).map(|slot| &slot.settings);
         let settings = settings.or_else(|| self.classes.current().next().map(|slot| &slot.settings));
@@ -89,7 +88,7 @@
         self.count_ended(class, RequestEnd::Rejected);
     }
 
-    /// How many requests have not ended, answered ones with running attempts among them.
+    /// How many requests have not ended, including answered ones with running attempts.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
@@ -99,8 +98,8 @@
         self.requests.iter().filter(|(_, open)| !open.answered).count()
     }
 
-    /// Admits a request; its final reply comes as a command or from [`Core::end_attempt_with_reply`]. One
-    /// under the id of a request that has not ended is not admitted: stores could not distinguish the two.
+    /// Admits a request; its final reply comes as a command or from [`Core::end_attempt_with_reply`]. Returns none if
+    /// its call id is that of a request that has not ended: stores could not distinguish the two.
     pub fn request(&mut self, now: MonotonicTime, reply_to: ReplyHandle, request: Request) -> Option<Key> {
         if self.open_call_ids.contains(&request.call_id) {
             return None;
@@ -116,7 +115,7 @@
         Some(self.open_request(now, reply_to, request, time_left))
     }
 
-    /// Opens a request that no cached copy answers, and lets the module decide on it.
+    /// Opens a request that was not answered from the cache, and lets the module decide on it.
     fn open_request(
         &mut self,
         now: MonotonicTime,
@@ -158,7 +157,7 @@
         self.shield.as_ref().is_some_and(refuses) && !self.uncacheable(request.class)
     }
 
-    /// The client has left and is owed no reply any more.
+    /// Handles that the client has left: the request gets no reply.
     pub fn client_left(&mut self, now: MonotonicTime, request: Key) {
         if self.mark_answered(request, RequestEnd::Failed).is_some() {
             self.handle_event(now, Event::ClientLeft(request.0));
@@ -166,8 +165,8 @@
         }
     }
 
-    /// Gives up a request that its connection cannot wait for: it is rejected if it had no effect, and failed
-    /// if it may have run. `retry_after` goes to its client as far as the settings allow.
+    /// Gives up a request whose attempt cannot be sent: it is rejected if it had no effect, and failed if it may have
+    /// run. `retry_after` is sent to the client, up to the limit of the settings.
     pub fn give_up(&mut self, now: MonotonicTime, request: Key, retry_after: Duration) {
         let Some(open) = self.requests.get(request) else { return };
         let class = open.request.class;
@@ -191,7 +190,7 @@
         }
     }
 
-    /// Whether a request may have had an effect; one that only reads has none.
+    /// Whether a request may have had an effect; never for one that only reads.
     fn may_have_run(&self, open: &OpenRequest) -> bool {
         let class = self.classes.get(open.request.class);
         let only_reads = class.is_some_and(|slot| slot.settings.class.effect == Effect::Idempotent);
@@ -200,7 +199,8 @@
         !only_reads && (open.first_possible_run_at.is_some() || open.attempts.iter().any(is_begun))
     }
 
-    /// Fails a request whose time is over, even if the module has no reply to give: each request gets one.
+    /// Fails an unanswered request whose deadline has passed, without waiting for the module: each request must get a
+    /// reply.
     pub(super) fn fail_overdue(&mut self, now: MonotonicTime, request: Key) {
         if let Some(reply_to) = self.mark_answered(request, RequestEnd::Failed) {
             self.commands.push_back(Command::ReplyFailed(reply_to, FailureCause::DeadlineExceeded));
@@ -208,7 +208,7 @@
         }
     }
 
-    /// All open requests and all that are still admitted get their reply before the process ends at `end`.
+    /// Makes all open requests, and those that are still admitted, get their reply before the process ends at `end`.
     pub fn answer_all_by(&mut self, now: MonotonicTime, end: MonotonicTime) {
         self.answer_all_before = Some(end);
         let is_due_later = |open: &OpenRequest| !open.answered && open.deadline > end;
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Gives the final reply of a request, unless it was given before.
+    /// Sends the final reply of a request, unless one was sent before.
     pub(super) fn answer(&mut self, key: Key, end: RequestEnd, command: impl FnOnce(ReplyHandle) -> Command) {
         let Some(reply_to) = self.mark_answered(key, end) else { return };
         self.commands.push_back(command(reply_to));
--- a/gateway/src/core/settings.rs
+++ b/gateway/src/core/settings.rs
@@ -1,11 +1,11 @@
-//! Putting settings and classes in force while requests are open.
+//! Replacing settings and classes while requests are open.
 use super::Core;
 use crate::wire_settings::ClassSettings;
 use larchway::{MonotonicTime, ReplacedClass, Settings};
 use larchway_operations::classes::{NamedClass, SlotChange};
 
 impl Core {
-    /// Replaces the settings and classes in force; requests, attempts and what was learned stay. Returns the
+    /// Replaces the settings and classes in force; requests, attempts and the learned state stay. Returns the
     /// settings with the classes in their slots.
     pub fn configure(
         &mut self,
@@ -14,7 +14,7 @@
         classes: Vec<NamedClass<ClassSettings>>,
     ) -> Settings {
         let replaced = self.classes.replace(classes);
-        // A slot that has another class now would otherwise serve the cached objects of the old one.
+        // Otherwise a slot that has another class now would serve the cached objects of the old class.
         if let Some(cache) = &mut self.object_cache {
             for slot in &replaced {
                 match slot {
@@ -31,7 +31,7 @@
         settings
     }
 
-    /// Replaces the settings in force by others with the same classes.
+    /// Replaces the settings in force with others that have the same classes.
     pub fn adjust(&mut self, now: MonotonicTime, settings: Settings) {
         self.apply_limits(now, &settings);
         self.router.configure(settings, &[]);
@@ -47,7 +47,7 @@
     }
 }
 
-/// The change of a slot as the decision module takes it.
+/// The change of a class slot, for the decision module.
 fn replaced_class(change: SlotChange) -> ReplacedClass {
     match change {
         SlotChange::New(slot) => ReplacedClass { slot, predecessor: None },
--- a/gateway/src/core/store_request.rs
+++ b/gateway/src/core/store_request.rs
@@ -1,4 +1,4 @@
-//! What is written to a store for an attempt, computed at the moment it is sent.
+//! The request that is written to a store for an attempt, computed at the moment it is sent.
 use super::messages::Request;
 use super::Core;
 use crate::slots::Key;
@@ -11,19 +11,19 @@
 pub struct StoreRequest<'a> {
     /// The client's request.
     pub request: &'a Request,
-    /// The name of the store to fill from, if it is another one.
+    /// The name of the store to fill from, if it is not the store itself.
     pub source: Option<&'a str>,
     /// How long the gateway will wait, in milliseconds.
     pub max_wait_ms: u64,
-    /// The age of the oldest acceptable copy, in milliseconds; 0 leaves it to the fresh time of the class.
+    /// The age of the oldest acceptable copy, in milliseconds; with 0 the fresh time of the class applies.
     pub max_age_ms: u64,
     /// The rank at which the object is cached.
     pub rank: u8,
     /// Whether to join a fill that is already running.
     pub join_fill: bool,
-    /// Whether the source may give only what it has cached.
+    /// Whether the source may reply only from its cache.
     pub cached_only: bool,
-    /// Whether to renew an ageing copy after the reply.
+    /// Whether the store renews a stale copy after its reply.
     pub renew_stale: bool,
     /// The proxies that the request has passed, this gateway included, for stores that accept that field.
     pub via: Option<String>,
@@ -56,9 +56,8 @@
     }
 }
 
-/// The bound on a copy's age, in milliseconds, for an attempt that has waited since it was decided. A bound
-/// below the fresh time stems from a purge, so it moves on with the clock. Never 0, which would accept any
-/// fresh copy.
+/// The bound on a copy's age, in milliseconds, for an attempt that has waited since it was decided. A bound below the
+/// fresh time comes from a purge, so it grows with the time since then. Never 0, which would accept any fresh copy.
 fn max_age_ms(age: Duration, fresh: Duration, waited: Duration) -> u64 {
     let bound = if fresh.is_zero() {
         age + waited
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -108,7 +108,10 @@
     let resent = take_sent(&mut core);
     assert_eq!(resent.len(), 1);
     assert_ne!(core.target(resent[0]).expect("a target").0, server);
-    assert!(core.store_request(START + 2 * MICROSECOND, waiting).is_none(), "it is not sent any more");
+    assert!(
+        core.store_request(START + 2 * MICROSECOND, waiting).is_none(),
+        "the withdrawn attempt is not sent"
+    );
 }
 
 #[test]
@@ -124,7 +127,7 @@
     assert!(core.attempt(keys[0]).is_none() && core.attempt(keys[1]).is_some());
     let resent = take_sent(&mut core);
     assert_eq!(core.store_request(START, resent[0]).expect("it waits").max_age_ms, 40, "less the margin");
-    // While it waits the bound moves on with the clock: the purge is longer ago by then.
+    // While the attempt waits, the age bound grows with the time since the purge.
     assert_eq!(core.store_request(START + 100 * MS, resent[0]).expect("it waits").max_age_ms, 140);
 }
 
@@ -182,8 +185,8 @@
     assert!((45..50).contains(&core.store_request(START, key).expect("it waits").max_wait_ms));
 }
 
-/// How long a store is told that the gateway waits never exceeds what the client has left, whenever the bytes
-/// go out.
+/// Guards against a store that works for a client that has given up: the wait stated to it must never exceed the
+/// client's time left, whenever the bytes are written.
 #[test]
 fn an_attempt_never_passes_on_more_than_is_left_and_needs_a_millisecond() {
     const TTL: Duration = Duration::from_secs(6);
@@ -192,7 +195,7 @@
         core.request(START, reply_to(1), new_request(0, 7));
         let end = core.requests.values_mut().next().expect("open").deadline;
         let at = end - time_left;
-        // What is withdrawn is decided again, by no more attempts than the settings allow.
+        // A withdrawn attempt is decided again, with no more attempts than the settings allow.
         let (mut begun, mut decided) = (0, 0);
         while let Some(key) = take_sent(&mut core).pop() {
             decided += 1;
@@ -208,7 +211,7 @@
         while let Some(due) = core.deadlines.pop(end) {
             core.handle_deadline(end, due);
         }
-        assert_eq!(core.unanswered_requests(), 0, "one final answer, with {time_left:?}");
+        assert_eq!(core.unanswered_requests(), 0, "one final reply, with {time_left:?}");
     }
 }
 
@@ -274,8 +277,8 @@
     assert_eq!((core.open_requests(), core.unanswered_requests()), (0, 0));
 }
 
-/// The platform may end the process its longest deadline (3 s at most) and 0.7 s after it told it to stop.
-/// All attempts hang, and requests come before and after that.
+/// The platform may kill the process after its longest deadline (3 s at most) and 0.7 s from the signal to stop. All
+/// attempts hang, and requests arrive before and after the signal.
 #[test]
 fn all_requests_are_answered_before_the_process_may_be_killed() {
     const STEP: Duration = Duration::from_millis(10);
@@ -299,7 +302,7 @@
             for key in take_sent_and_count_replies(&mut core, &mut answered) {
                 core.record_first_byte(at, key);
             }
-            // A due time within the step counts as late as its end.
+            // Deadlines within a step are handled at its end.
             at += STEP;
             while let Some(due) = core.deadlines.pop(at) {
                 core.handle_deadline(at, due);
@@ -312,7 +315,7 @@
     }
 }
 
-/// The attempts that are to be sent; refusals and failures among the commands are counted.
+/// Takes the attempts that are to be sent, and counts the rejections and failures among the commands.
 fn take_sent_and_count_replies(core: &mut Core, answered: &mut u64) -> Vec<Key> {
     let finals = core
         .commands
@@ -322,7 +325,7 @@
     take_sent(core)
 }
 
-/// Invariant 1 of `docs/design/operations.md`, over random histories, against what the sockets were told.
+/// Invariant 1 of `docs/design/operations.md`, over random histories: the counters must match the replies sent.
 #[test]
 fn each_received_request_is_counted_once_by_its_outcome() {
     for seed in 0..40u64 {
@@ -332,7 +335,7 @@
             larchway::mix(larchway::mix(seed + 1) ^ larchway::mix(drawn)) % most
         };
         let mut core = configured_core();
-        // Half of the histories with copies of the gateway's own (invariant 6 of `docs/design/copies.md`).
+        // Half of the histories have an object cache (invariant 6 of `docs/design/copies.md`).
         let mut cache = ObjectCache::new(CopiesFile::default(), LinkRates::default());
         cache.set_capacity(MemoryBudget { limit: 1_000_000, reserved: 0 });
         cache.set_purge_source(PurgeSource::None);
@@ -412,7 +415,7 @@
     core
 }
 
-/// H7 of `docs/design/hierarchy.md`, and that what is turned away has its answer or a look at once.
+/// H7 of `docs/design/hierarchy.md`; a request whose fill is refused is rejected or asks caches only, at once.
 #[test]
 fn fills_beyond_the_shield_limit_are_rejected_or_cached_only_and_resume_below_it() {
     let mut core = core_with_shield(2.0);
@@ -435,7 +438,7 @@
     assert_eq!(core.shield().map(OriginAdmission::in_flight), Some(0));
     core.request(START + 30 * MS, reply_to(20), new_request(0, 500));
     let resent = take_sent(&mut core);
-    assert!(resent.iter().any(|key| fetches(&core, key)), "there is room again");
+    assert!(resent.iter().any(|key| fetches(&core, key)), "the limit allows fetches again");
 }
 
 #[test]
--- a/gateway/src/hierarchy/error.rs
+++ b/gateway/src/hierarchy/error.rs
@@ -1,4 +1,5 @@
-//! Why a hierarchy cannot be configured, and why a change of it is rejected. Operators read the texts.
+//! Errors of the hierarchy's configuration, and the reasons why a change of it is rejected. The messages are for
+//! operators.
 use crate::operator_file::FormatError;
 use larchway_hierarchy::change_log::{Change, ChangeOutcome};
 use larchway_hierarchy::topology::{EditError, RejectedEdit};
@@ -9,13 +10,13 @@
 /// Why the file of the hierarchy cannot be used.
 #[derive(Debug, Error)]
 pub enum HierarchyFileError {
-    /// It is not of the form that its schema gives.
+    /// The file does not match its schema.
     #[error(transparent)]
     Format(#[from] FormatError),
-    /// Its parents and branches make no topology.
+    /// Its parents and branches form no valid topology.
     #[error(transparent)]
     Topology(#[from] TopologyError),
-    /// The branch that the gateway serves does not exist.
+    /// The branch that the gateway serves is not defined.
     #[error("branch: {0:?} is not among branches")]
     UnknownBranch(String),
     /// An integer is out of range.
@@ -39,7 +40,7 @@
         range: RangeInclusive<f64>,
     },
     /// The limits of the shield are not in ascending order.
-    #[error("shield.least, first, most: they must be 1 or more, each no less than the one before")]
+    #[error("shield.least, first, most: each must be at least 1 and no less than the previous one")]
     ShieldLimits,
     /// A change is rejected.
     #[error("changes[{index}]{error}")]
@@ -77,7 +78,7 @@
     }
 }
 
-/// The entry of the file that an edit of the topology was made from.
+/// The entry of the file that an edit of the topology stems from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TopologyKey {
     /// The parent of this name.
@@ -95,7 +96,7 @@
     }
 }
 
-/// Why parents and branches make no topology.
+/// Why parents and branches form no valid topology.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{key}: {error}")]
 pub struct TopologyError {
@@ -105,11 +106,11 @@
     pub error: EditError,
 }
 
-/// Why a change of the topology is rejected. Each text begins with the place in the change, so that it can follow the
-/// name of the change.
+/// Why a change of the topology is rejected. Each message begins with the path of the key in the change, so that it
+/// can follow the name of the change.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RejectedChange {
-    /// An edit does not fit the topology.
+    /// An edit cannot be applied to the topology.
     #[error(".edits[{index}] ({edit}): {error}")]
     Edit {
         /// The index of the edit in the change.
@@ -120,18 +121,18 @@
         error: EditError,
     },
     /// The topology of the epoch that it is based on is no longer retained.
-    #[error(".upon: epoch {0} is kept no more")]
+    #[error(".upon: epoch {0} is no longer retained")]
     EpochExpired(u64),
-    /// Another change has its id.
-    #[error(".id: {0:?} is that of another change")]
+    /// Its id is already used by another change.
+    #[error(".id: {0:?} is already used by another change")]
     IdReused(String),
     /// Too many changes are pending or superseded.
-    #[error(": too many changes are held or rival")]
+    #[error(": too many changes are pending or superseded")]
     LimitReached,
 }
 
 impl RejectedChange {
-    /// Checks what became of a change that was submitted.
+    /// Returns an error if a submitted change was rejected.
     pub(super) fn check(change: &Change, outcome: &ChangeOutcome) -> Result<(), Self> {
         match outcome {
             ChangeOutcome::Rejected(RejectedEdit { index, error }) => {
--- a/gateway/src/hierarchy/file.rs
+++ b/gateway/src/hierarchy/file.rs
@@ -1,4 +1,4 @@
-//! The hierarchy's file: its form, its checks and the topology that it describes.
+//! The hierarchy's file: its format, its validation and the topology that it describes.
 use super::{HierarchyFileError, InferFile, RejectedChange, ShieldFile, TopologyError, TopologyKey};
 use crate::operator_file::{self, read_text, FileError};
 use larchway_hierarchy::change_log::{Change, ChangeLog};
@@ -9,18 +9,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
-/// Accepted numbers of steps in which objects migrate.
+/// Accepted numbers of steps of a migration.
 const STEPS: RangeInclusive<u64> = 1..=10_000;
 /// Accepted lengths of a step, in milliseconds.
 const STEP_MS: RangeInclusive<u64> = 10..=3_600_000;
-/// The longest time that a file may name, in milliseconds: 30 days. Longer ones than any in use stay accepted, and none
-/// leaves the range of the clock.
+/// The longest time that a file may name, in milliseconds: 30 days. It is longer than any in use, and short enough
+/// that no computed time overflows the clock.
 const LONGEST_MS: u64 = 2_592_000_000;
-/// Accepted times, in milliseconds, for which the home before a move is still asked.
+/// Accepted times after a migration, in milliseconds, for which the previous parent is still asked.
 const KEEP_MS: RangeInclusive<u64> = 0..=LONGEST_MS;
-/// Accepted times, in milliseconds, in which a started parent warms.
+/// Accepted durations of a parent's slow start, in milliseconds.
 const COLD_MS: RangeInclusive<u64> = 0..=LONGEST_MS;
-/// Accepted shares of its weight that a parent has when it starts.
+/// Accepted shares of its weight that a parent has right after its start.
 const INITIAL_SHARE: RangeInclusive<f64> = 0.0..=1.0;
 
 /// The hierarchy's file under `deploy/`. Its schema is printed by `larchway schema hierarchy`.
@@ -29,40 +29,42 @@
 pub struct HierarchyFile {
     /// The branch that this gateway serves.
     pub branch: String,
-    /// The number of the shape below.
+    /// The epoch of the topology that `parents` and `branches` describe.
     #[serde(default)]
     pub epoch: u64,
     /// The parents by name.
     pub parents: BTreeMap<String, Parent>,
-    /// The branches, each with the parents that stand behind it.
+    /// The branches, each with the names of its parents.
     pub branches: BTreeMap<String, BTreeSet<String>>,
-    /// Changes upon that shape and upon those that they make, in any order.
+    /// Changes of that topology and of those that result from them, in any order.
     #[serde(default)]
     pub changes: Vec<Change>,
-    /// A path of the ensemble whose children are further changes, one each, in the same form.
+    /// A path of the ensemble whose child nodes each hold one further change, in the same format.
     pub path: Option<String>,
-    /// In how many steps objects move.
+    /// Number of steps in which objects migrate.
     #[serde(default = "default_steps")]
     pub steps: u32,
-    /// ms a step.
+    /// Duration of a step in ms.
     #[serde(default = "default_step_ms")]
     pub step_ms: u64,
-    /// ms after a move for which the home of before is still asked for what it holds.
+    /// Time in ms after a migration for which the previous parent of an object is still asked for its cached copy.
     #[serde(default = "default_keep_ms")]
     pub keep_ms: u64,
-    /// Share of its weight that a parent which has just started can give; without it, as the settings say.
+    /// Share of its weight that a parent has right after its start; if absent, the slow start of the settings
+    /// applies.
     pub cold_from: Option<f64>,
-    /// ms in which a started parent warms; without it, as the settings say.
+    /// Duration of a parent's slow start in ms; if absent, the slow start of the settings applies.
     pub cold_ms: Option<u64>,
-    /// Whether moves stand still.
+    /// Whether migrations are paused.
     #[serde(default)]
     pub paused: bool,
-    /// Whether stores take the field `via`, which says where a request has been. Not on the platform.
+    /// Whether stores accept the field `via`, which lists the proxies that a request has passed. Not supported on the
+    /// platform.
     #[serde(default)]
     pub trails: bool,
-    /// How loops are inferred where no trail is carried; without it, they are not.
+    /// How loops are inferred where requests carry no trail; if absent, they are not inferred.
     pub infer: Option<InferFile>,
-    /// The shield of the origin; without it, fills are limited by the module's own rules alone.
+    /// The shield of the origin; if absent, only the module's own rules limit fills.
     pub shield: Option<ShieldFile>,
 }
 
@@ -85,7 +87,7 @@
         HierarchyFile::parse(&text).map_err(|error| FileError::invalid(path, error))
     }
 
-    /// Parses and checks the text of a file; errors name the key, or the edit that does not fit.
+    /// Parses and checks the text of a file; errors name the key, or the edit that cannot be applied.
     pub fn parse(text: &str) -> Result<Self, HierarchyFileError> {
         let file: HierarchyFile = operator_file::parse(text)?;
         let topology = file.base_topology()?;
@@ -112,7 +114,7 @@
         operator_file::schema::<HierarchyFile>()
     }
 
-    /// Whether migrations go on.
+    /// Whether migrations run or are paused.
     pub(super) fn migration_state(&self) -> MigrationState {
         if self.paused {
             MigrationState::Paused
@@ -123,7 +125,7 @@
 
     /// The topology of the file, before its changes.
     pub(super) fn base_topology(&self) -> Result<Topology, TopologyError> {
-        // Parents are added without their upstreams first, since they may stand in any order.
+        // Parents are added without their upstreams first, since the file may list a parent before its upstream.
         let add_parent = |(name, parent): (&String, &Parent)| {
             let parent = Parent { upstream: Upstream::Origin, ..parent.clone() };
             (TopologyKey::Parent(name.clone()), Edit::AddParent { name: name.clone(), parent })
@@ -145,7 +147,7 @@
             .map_err(|RejectedEdit { index, error }| TopologyError { key: keys[index].clone(), error })
     }
 
-    /// Checks that the changes fit the topology that they are based on.
+    /// Checks that the changes can be applied to the topologies that they are based on.
     fn check_changes(&self, topology: Topology) -> Result<(), HierarchyFileError> {
         let mut change_log = ChangeLog::new(self.epoch, topology);
         for (index, change) in self.changes.iter().enumerate() {
--- a/gateway/src/hierarchy/infer_file.rs
+++ b/gateway/src/hierarchy/infer_file.rs
@@ -1,4 +1,4 @@
-//! How loops are inferred where no trail is carried.
+//! The settings by which loops are inferred where requests carry no trail.
 use super::HierarchyFileError;
 use larchway_hierarchy::loop_detection::LoopInferenceSettings;
 use schemars::JsonSchema;
@@ -6,9 +6,9 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Accepted numbers of fills.
+/// Accepted sizes of the window, in fills.
 const WINDOW: RangeInclusive<u64> = 4..=1000;
-/// Accepted shares of failed fills.
+/// Accepted shares of failed fills in the window.
 const FAILURE_SHARE: RangeInclusive<f64> = 0.5..=1.0;
 /// Accepted times, in milliseconds, for which a suspect parent is excluded.
 const HOLD_MS: RangeInclusive<u64> = 100..=600_000;
@@ -17,11 +17,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct InferFile {
-    /// Over how many fills of a parent.
+    /// Number of the latest fills through a parent that are evaluated.
     pub window: u32,
-    /// Which share of them must have found no place or run out of time.
+    /// Share of them that must have been rejected or timed out for the parent to be suspected.
     pub share: f64,
-    /// ms for which a suspect parent is left out.
+    /// Time in ms for which a suspected parent is excluded.
     pub hold_ms: u64,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl InferFile {
-    /// The settings of the inference.
+    /// The settings of the loop inference.
     pub(super) fn settings(&self) -> LoopInferenceSettings {
         LoopInferenceSettings {
             window: self.window as usize,
--- a/gateway/src/hierarchy/loop_guard.rs
+++ b/gateway/src/hierarchy/loop_guard.rs
@@ -1,5 +1,5 @@
-//! Loops among caches: requests that have been here before (RFC 8586), and parents that are excluded because their
-//! fills fail as those in a loop do.
+//! Protection against loops among caches: detection of requests that have passed this gateway before (RFC 8586), and
+//! exclusion of parents whose fills fail as they do in a loop.
 use larchway::{MonotonicTime, ServerId, ServerWeight};
 use larchway_hierarchy::loop_detection::{self, LoopCheck};
 use larchway_hierarchy::topology::Topology;
@@ -15,29 +15,29 @@
     pub epoch: u64,
 }
 
-/// Detects requests in a loop, and knows the excluded parents.
+/// Detects requests in a loop, and holds the excluded parents.
 #[derive(Default)]
 pub(super) struct LoopGuard {
     /// The name of this gateway in trails.
     pub(super) own_name: String,
     /// Excluded parents, and the end of each exclusion.
     excluded: BTreeMap<ServerId, MonotonicTime>,
-    /// Requests found in a loop since the start.
+    /// Number of requests found in a loop since the start.
     pub(super) loops_found: u64,
-    /// Parents found suspect since the start.
+    /// Number of exclusions of suspected parents since the start.
     pub(super) loops_inferred: u64,
 }
 
 impl LoopGuard {
-    /// Sets the name of this gateway, without the characters that cannot stand in trails.
+    /// Sets the name of this gateway; characters that trails do not allow are replaced.
     pub(super) fn set_own_name(&mut self, name: &str) {
         let is_accepted = |character: char| character.is_ascii_alphanumeric() || character == '.';
         let replace = |character: char| if is_accepted(character) { character } else { '-' };
         self.own_name = name.chars().map(replace).collect();
     }
 
-    /// Whether a request with this trail is in no loop. One that has been here, or anywhere twice, is in a loop; a
-    /// trail that cannot be read counts as a loop.
+    /// Whether a request with this trail is free of loops. A request that has passed this gateway, or any hop twice,
+    /// is in a loop; a trail that cannot be parsed counts as a loop.
     pub(super) fn admits(&mut self, trail: &str, topology: &Topology, epoch: u64) -> bool {
         if trail.trim().is_empty() {
             return true;
@@ -49,7 +49,7 @@
                 check == LoopCheck::Clear
             }
             Err(error) => {
-                warn!(%error, "a trail cannot be read");
+                warn!(%error, "cannot parse the trail of a request");
                 false
             }
         };
@@ -59,17 +59,17 @@
         is_clear
     }
 
-    /// Excludes a parent until a time.
+    /// Excludes a parent until the given time.
     pub(super) fn exclude(&mut self, parent: ServerId, until: MonotonicTime) {
         warn!(
             parent = %format_args!("{parent:08x}"),
-            "fills by way of a parent run out of time or find no place, as in a loop: it is left out for a while"
+            "fills through a parent time out or are rejected, as in a loop: parent excluded for a while"
         );
         self.loops_inferred += 1;
         self.excluded.insert(parent, until);
     }
 
-    /// Ends the exclusions whose time has come.
+    /// Removes the exclusions that have ended.
     pub(super) fn expire(&mut self, now: MonotonicTime) {
         self.excluded.retain(|_, until| now < *until);
     }
@@ -97,15 +97,15 @@
     }
 }
 
-/// Logs what is wrong with a trail, if anything is.
+/// Logs a loop, or a trail that is too long.
 fn log_loop(check: &LoopCheck) {
     let describe =
-        |epoch: &Option<u64>| epoch.map_or("an epoch untold".to_string(), |epoch| format!("epoch {epoch}"));
+        |epoch: &Option<u64>| epoch.map_or("an unknown epoch".to_string(), |epoch| format!("epoch {epoch}"));
     match check {
         LoopCheck::Clear => {}
         LoopCheck::Loop { name, first, second } => {
             error!("a loop by way of {name}: first at {}, then at {}", describe(first), describe(second));
         }
-        LoopCheck::TooManyHops(hops) => warn!(hops, "a request has come more hops than the shape has"),
+        LoopCheck::TooManyHops(hops) => warn!(hops, "a request has passed more hops than the topology has"),
     }
 }
--- a/gateway/src/hierarchy/mod.rs
+++ b/gateway/src/hierarchy/mod.rs
@@ -1,5 +1,5 @@
-//! The hierarchy of caches for the gateway: its file, changes of it from the file and from the ensemble, and the
-//! weights of parents that follow for the decision module. It does no I/O but reading the file.
+//! The hierarchy of caches: its file, changes of it from the file and from the ensemble, and the resulting weights of
+//! parents for the decision module. Reading the file is the only I/O here.
 mod error;
 mod file;
 mod infer_file;
@@ -46,12 +46,12 @@
     weights.iter().map(by_id).collect()
 }
 
-/// How parents warm up after a start, where the file does not say it.
+/// The slow start of parents, where the file does not set it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ParentSlowStart {
-    /// The share of its weight that a parent has when it starts.
+    /// The share of its weight that a parent has right after its start.
     pub initial_share: f64,
-    /// The time until it has all of it.
+    /// The time from the start until a parent has its full weight.
     pub duration: Duration,
 }
 
@@ -62,15 +62,15 @@
     migration: Migration,
     /// The weights at the end of the migration.
     target_weights: WeightByParent,
-    /// The weights that the decision module has.
+    /// The weights last sent to the decision module; none before the first.
     sent_weights: Option<ParentWeights>,
-    /// When the weights are to be computed again.
+    /// When the weights must be computed again; none while they do not change with time.
     next_due: Option<MonotonicTime>,
     loop_guard: LoopGuard,
 }
 
 impl Hierarchy {
-    /// Begins with a file and without a migration.
+    /// Creates the hierarchy of a file, with no migration in progress.
     pub fn new(
         now: MonotonicTime,
         file: HierarchyFile,
@@ -94,8 +94,8 @@
         })
     }
 
-    /// Puts another file in force. Its changes are added to the known ones; with another base topology the change log
-    /// begins anew, and objects migrate there in steps all the same.
+    /// Puts another file in force. Its changes are added to the known ones; if the base topology or its epoch
+    /// differs, the change log is reset. Objects migrate in steps in both cases.
     pub fn configure(&mut self, now: MonotonicTime, file: HierarchyFile) -> Result<(), TopologyError> {
         let topology = file.base_topology()?;
         if file.epoch != self.file.epoch || topology != self.file.base_topology()? {
@@ -121,18 +121,19 @@
         self.file.trails.then(|| OwnHop { name: name.clone(), epoch: self.change_log.epoch() })
     }
 
-    /// How loops are inferred, if they are.
+    /// How loops are inferred; none if they are not.
     pub fn loop_inference(&self) -> Option<LoopInferenceSettings> {
         self.file.infer.as_ref().map(InferFile::settings)
     }
 
-    /// Whether a request with this trail is in no loop. One that has been here, or anywhere twice, is in a loop; a
-    /// trail that cannot be read counts as a loop.
+    /// Whether a request with this trail is free of loops. A request that has passed this gateway, or any hop twice,
+    /// is in a loop; a trail that cannot be parsed counts as a loop.
     pub fn admits_trail(&mut self, trail: &str) -> bool {
         self.loop_guard.admits(trail, self.change_log.topology(), self.change_log.epoch())
     }
 
-    /// Excludes a parent whose fills fail as in a loop for the configured time, unless no other parent is left.
+    /// Excludes a parent for the configured time, because its fills fail as they do in a loop. It is still used if no
+    /// other parent is left.
     pub fn exclude_parent(&mut self, now: MonotonicTime, parent: ServerId) {
         let hold_ms = self.file.infer.as_ref().map_or(0, |infer| infer.hold_ms);
         self.loop_guard.exclude(parent, now + Duration::from_millis(hold_ms));
@@ -144,7 +145,7 @@
         self.file.path.as_deref()
     }
 
-    /// Handles the data of a child of the path whose children are changes.
+    /// Handles the data of a node that is a change of the topology.
     pub fn handle_change_node(&mut self, now: MonotonicTime, node: &str, data: &[u8]) {
         let change: Change = match serde_json::from_slice(data) {
             Ok(change) => change,
@@ -152,13 +153,13 @@
         };
         let outcome = self.change_log.submit(change.clone());
         match RejectedChange::check(&change, &outcome) {
-            Err(error) => warn!("the change {node} is refused{error}"),
+            Err(error) => warn!("rejected the change {node}{error}"),
             Ok(()) => info!("the change {node} ({}): {outcome}", change.id),
         }
         self.retarget(now);
     }
 
-    /// Observes the endpoints of a list: a parent that has started warms up.
+    /// Observes the starts of endpoints: a parent that has started is in slow start.
     pub fn observe_endpoints(&mut self, now: MonotonicTime, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             let Some(started_at) = endpoint.host.known_start() else { continue };
@@ -170,7 +171,7 @@
     /// Starts a migration if the topology gives the branch other weights.
     fn retarget(&mut self, now: MonotonicTime) {
         let target_weights = branch_weights(self.change_log.topology(), &self.file.branch);
-        // A branch that was removed retains its parents: its gateways still serve.
+        // A removed branch retains its parents, since its gateways still serve clients.
         if target_weights != self.target_weights && !target_weights.is_empty() {
             let epoch = self.change_log.epoch();
             info!(from = ?self.target_weights, to = ?target_weights, "epoch {epoch}: objects move");
@@ -181,7 +182,7 @@
         self.next_due = Some(now);
     }
 
-    /// When the weights are to be computed again by [`Hierarchy::tick`].
+    /// When [`Hierarchy::tick`] must be called next, if ever.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         self.next_due
     }
@@ -190,7 +191,8 @@
     pub fn tick(&mut self, now: MonotonicTime) -> Option<ParentWeights> {
         self.loop_guard.expire(now);
         let weights = self.parent_weights(now);
-        // The end of the time in which previous parents are asked has no due time of its own.
+        // The end of the period in which previous parents are asked has no timer of its own, so it is checked at each
+        // step.
         let step = Duration::from_millis(self.file.step_ms);
         let previous_check = (!weights.previous.is_empty()).then(|| now + step);
         let migration_due = self.migration.next_due(now).or(previous_check);
@@ -255,7 +257,7 @@
     }
 }
 
-/// The settings of migrations, with the slow start of parents where the file does not say it.
+/// The settings of migrations; `slow_start` applies where the file does not set the slow start of parents.
 fn migration_settings(file: &HierarchyFile, slow_start: ParentSlowStart) -> MigrationSettings {
     let from_file = file.cold_ms.map(Duration::from_millis);
     MigrationSettings {
--- a/gateway/src/hierarchy/plan.rs
+++ b/gateway/src/hierarchy/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a hierarchy's changes: which share of the objects each one migrates, and between which parents.
+//! The plan of a hierarchy's changes: the share of objects that each change migrates, and between which parents.
 use super::file::HierarchyFile;
 use super::{branch_weights, TopologyError, WeightByParent};
 use larchway_hierarchy::change_log::{ChangeLog, ChangeOutcome};
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Objects by which the shares that migrate are measured.
+/// Size of the sample of objects by which the migrating shares are measured.
 const SAMPLE_OBJECTS: u64 = 100_000;
 /// Milliseconds in a second.
 const MILLIS_PER_SECOND: u64 = 1000;
 
-/// What the changes of a file migrate at its branch, if they come one by one.
+/// The migrations that the changes of a file cause at its branch, if they are applied one after the other.
 #[derive(Debug)]
 pub struct MigrationPlan {
     branch: String,
@@ -19,14 +19,14 @@
     epoch: u64,
     /// The weights before the changes.
     weights: WeightByParent,
-    /// Steps of each migration.
+    /// Number of steps of each migration.
     steps: u32,
-    /// Milliseconds of a step.
+    /// Duration of a step, in milliseconds.
     step_ms: u64,
     changes: Vec<PlannedChange>,
 }
 
-/// What a change migrates.
+/// A change and the migration that it causes.
 #[derive(Debug)]
 struct PlannedChange {
     id: String,
@@ -37,16 +37,16 @@
     migration: Option<PlannedMigration>,
 }
 
-/// A migration of objects from parents to others.
+/// A migration of objects between parents.
 #[derive(Debug)]
 struct PlannedMigration {
     from: WeightByParent,
     to: WeightByParent,
-    /// Objects of the sample that migrate.
+    /// Number of objects of the sample that migrate, by route.
     moved: BTreeMap<Route, u64>,
 }
 
-/// The parent that an object leaves, and the one that it gets.
+/// The parent of an object before and after a migration.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Route {
     from: String,
@@ -133,18 +133,18 @@
     }
 }
 
-/// The parent of an object; empty without parents.
+/// The parent of an object; empty if there is no parent.
 fn assigned_parent(weights: &WeightByParent, object: u64) -> String {
     let weights = weights.iter().map(|(name, weight)| (name.as_str(), *weight));
     rendezvous(object, weights).map(String::from).unwrap_or_default()
 }
 
-/// The share of the sample, in percent.
+/// A number of objects as a percentage of the sample.
 fn percentage(objects: u64) -> f64 {
     100.0 * objects as f64 / SAMPLE_OBJECTS as f64
 }
 
-/// Weights, as a line for people.
+/// Weights as readable text.
 fn describe(weights: &WeightByParent) -> String {
     let entries: Vec<String> = weights.iter().map(|(name, weight)| format!("{name} {weight}")).collect();
     entries.join(", ")
--- a/gateway/src/hierarchy/report.rs
+++ b/gateway/src/hierarchy/report.rs
@@ -9,12 +9,12 @@
 pub struct HierarchyReport {
     /// The epoch of the topology in force.
     pub(super) epoch: u64,
-    /// Changes that wait for the epoch that they are based on.
+    /// Number of changes that wait for the epoch that they are based on.
     #[serde(rename = "held")]
     pub(super) pending_changes: usize,
     /// The branch that this gateway serves.
     pub(super) branch: String,
-    /// Whether objects migrate.
+    /// Whether a migration is in progress.
     #[serde(rename = "moving")]
     pub(super) migrating: bool,
     /// Whether migrations are paused.
@@ -26,11 +26,11 @@
     /// The shield of the origin, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) shield: Option<ShieldReport>,
-    /// Requests found in a loop since the start.
+    /// Number of requests found in a loop since the start.
     pub(super) loops_found: u64,
-    /// Parents found suspect since the start.
+    /// Number of exclusions of suspected parents since the start.
     pub(super) loops_inferred: u64,
-    /// Parents that are excluded now.
+    /// The ids of the parents that are excluded now.
     #[serde(rename = "suspects")]
     pub(super) excluded_parents: Vec<String>,
 }
@@ -38,13 +38,13 @@
 /// A parent of the branch.
 #[derive(Serialize)]
 pub(super) struct ParentReport {
-    /// Its weight at this moment.
+    /// Its current weight.
     #[serde(rename = "now")]
     pub(super) current_weight: f64,
     /// Its weight at the end of the migration.
     #[serde(rename = "target")]
     pub(super) target_weight: f64,
-    /// The parents between it and the origin.
+    /// The names of the parents between it and the origin.
     #[serde(rename = "way")]
     pub(super) upstream_path: Vec<String>,
 }
@@ -52,15 +52,15 @@
 /// The shield of the origin.
 #[derive(Serialize)]
 pub struct ShieldReport {
-    /// Fetches that this gateway may have in flight at once.
+    /// Most fetches that this gateway may have in flight at once.
     limit: u32,
-    /// Fetches in flight.
+    /// Number of fetches in flight.
     #[serde(rename = "out")]
     in_flight: u32,
-    /// Fetches rejected since the start.
+    /// Number of fetches rejected since the start.
     #[serde(rename = "turned_away")]
     rejected: u64,
-    /// Objects remembered.
+    /// Number of objects whose last fetch is remembered.
     #[serde(rename = "remembered")]
     remembered_objects: usize,
     /// The usual latency of the origin, in milliseconds.
--- a/gateway/src/hierarchy/shield_file.rs
+++ b/gateway/src/hierarchy/shield_file.rs
@@ -1,4 +1,4 @@
-//! The shield of the origin, as the hierarchy's file configures it.
+//! The section of the hierarchy's file that configures the shield of the origin.
 use super::HierarchyFileError;
 use crate::spans::floor_millis;
 use larchway_hierarchy::origin_admission::AdmissionSettings;
@@ -7,44 +7,44 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Accepted factors by which the limit decreases.
+/// Accepted factors by which the limit is multiplied to decrease it.
 const DECREASE_FACTOR: RangeInclusive<f64> = 0.1..=0.99;
-/// Accepted multiples of the least latency from which a reply is slow.
+/// Accepted multiples of the lowest latency from which on a reply is slow.
 const SLOW_FACTOR: RangeInclusive<f64> = 1.1..=100.0;
-/// Accepted shares of the limit for one hub.
+/// Accepted shares of the limit that one hub may use.
 const HUB_SHARE: RangeInclusive<f64> = 0.01..=1.0;
-/// Accepted times, in milliseconds, for which the least latency counts.
+/// Accepted lengths of the window of the lowest latency, in milliseconds.
 const LATENCY_WINDOW_MS: RangeInclusive<u64> = 1..=3_600_000;
-/// Accepted times, in milliseconds, between two fetches of one object.
+/// Accepted minimum intervals between two fetches of one object, in milliseconds.
 const MIN_INTERVAL_MS: RangeInclusive<u64> = 1..=60_000;
 /// Accepted times, in milliseconds, for which a failed fetch is not repeated.
 const FAILURE_HOLD_MS: RangeInclusive<u64> = 1..=600_000;
-/// Accepted numbers of remembered objects.
+/// Accepted numbers of objects whose last fetch is remembered.
 const OBJECTS: RangeInclusive<u64> = 1..=1_000_000;
 
-/// How the origin is shielded from fills. Limits are those of all gateways together.
+/// How the origin is shielded from fills. The limits apply to all gateways together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct ShieldFile {
-    /// Fills out at once at the beginning.
+    /// Limit of concurrent fills at the start.
     pub first: u32,
-    /// Fills out at once at the least.
+    /// Lowest limit of concurrent fills.
     pub least: u32,
-    /// Fills out at once at the most.
+    /// Highest limit of concurrent fills.
     pub most: u32,
-    /// Factor by which the limit falls at a sign of trouble.
+    /// Factor by which the limit is multiplied when the origin shows signs of overload.
     pub decrease: f64,
-    /// An answer slower than the least of late times this is a sign of trouble.
+    /// A reply slower than the lowest recent latency times this factor is a sign of overload.
     pub slow: f64,
-    /// ms for which the least answer time counts.
+    /// Length in ms of the window over which the lowest latency is taken.
     pub memory_ms: u64,
-    /// Share of the limit that one hub may take while others want it too.
+    /// Share of the limit that one hub may use while other hubs need it too.
     pub hub_share: f64,
-    /// ms between two fills of one object where they can't be joined.
+    /// Minimum interval in ms between two fills of one object that cannot be joined.
     pub space_ms: u64,
-    /// ms for which what the origin could not give is not asked for again.
+    /// Time in ms for which an object that the origin failed to deliver is not fetched again.
     pub forget_ms: u64,
-    /// Objects remembered.
+    /// Maximum number of objects whose last fetch is remembered.
     pub objects: u32,
 }
 
--- a/gateway/src/peers/cluster.rs
+++ b/gateway/src/peers/cluster.rs
@@ -1,5 +1,5 @@
-//! The other gateways of the tier, for [`super::Peers`]: the failure detector, the quota lease and the gossip of
-//! stores' health, with their report for operators. It does no I/O.
+//! The cluster of the tier's gateways, for [`super::Peers`]: the failure detector, the quota lease and the gossip of
+//! stores' health, with their report for operators. No I/O is done here.
 use super::members::{Members, TiersStatus};
 use super::PeerSettings;
 use larchway::{MonotonicTime, Quotas, ServerId, Shares};
@@ -15,23 +15,23 @@
 
 /// Time between two rounds of health reports of stores.
 const HEALTH_REPORT_INTERVAL: Duration = Duration::from_millis(300);
-/// Members to which a round of health reports goes.
+/// Number of members to which a round of health reports is sent.
 const HEALTH_REPORT_FANOUT: usize = 3;
-/// Relative change of a quota from which on the decision module is notified.
+/// Smallest relative change of a quota of which the decision module is notified.
 const MIN_QUOTA_CHANGE: f64 = 0.01;
 
-/// Whether the usable quotas, or the gateways that divide them, have changed.
+/// Whether the usable quotas, or the number of gateways that share them, have changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QuotaChange {
-    /// They have, by so much that the decision module has to know.
+    /// They have changed by enough to notify the decision module.
     Changed,
-    /// They have not.
+    /// They have not changed by that much.
     Unchanged,
 }
 
-/// A round of health reports.
+/// A round of health reports to be sent.
 pub(super) struct HealthRound {
-    /// The members that it goes to.
+    /// The members that receive it.
     pub(super) receivers: Vec<u16>,
     /// The body of the message.
     pub(super) body: Vec<u8>,
@@ -42,16 +42,16 @@
     file: FleetFile,
     members: Members,
     health_gossip: HealthGossip,
-    /// When reports of stores' health may be sent next.
+    /// The earliest time of the next round of health reports.
     health_reports_due: MonotonicTime,
-    /// The stores that this gateway itself avoided at the last tick.
+    /// The stores that this gateway itself avoided at the last tick, by its own observations.
     avoided: BTreeSet<ServerId>,
     lease: Lease,
-    /// Whether quotas are leased at all.
+    /// Whether quotas are leased; otherwise the configured ones apply.
     quotas_leased: bool,
     /// The quotas of which the decision module was last notified, if they are leased.
     quotas: Option<Quotas>,
-    /// The gateways whose nodes exist, while the lease is held.
+    /// The number of gateways whose nodes exist, while the lease is held.
     standing: Option<Standing>,
 }
 
@@ -76,14 +76,14 @@
     quotas_leased: bool,
     /// Whether this gateway holds a lease now.
     held: bool,
-    /// Gateways whose nodes exist.
+    /// Number of gateways whose nodes exist.
     standing: u64,
-    /// Those of the own zone.
+    /// Number of those in the own zone.
     #[serde(rename = "standing_near")]
     standing_in_zone: u64,
-    /// The share that may be used now of what all gateways divide.
+    /// The share of the quotas of the whole tier that this gateway may use now.
     share: f64,
-    /// The share that may be used now of what the gateways of the own zone divide.
+    /// The share of the quotas of the own zone that this gateway may use now.
     #[serde(rename = "share_near")]
     share_in_zone: f64,
 }
@@ -97,14 +97,14 @@
             health_reports_due: MonotonicTime::MIN,
             avoided: BTreeSet::new(),
             lease: Lease::new(settings.configured.clone()),
-            // A gateway that starts has lost its lease: it must not use its full quota before it holds one again.
+            // A gateway that has just started holds no lease, and must not use its full quota before it does.
             quotas_leased: settings.quotas_leased,
             quotas: None,
             standing: None,
         }
     }
 
-    /// Takes a new file and a new configuration; what is known stays.
+    /// Replaces the file and the configuration; the state stays.
     pub(super) fn configure(&mut self, now: MonotonicTime, file: FleetFile, settings: &PeerSettings) {
         self.members.configure(now, file.clone(), settings);
         self.lease.configure(settings.configured.clone());
@@ -124,17 +124,17 @@
         self.standing
     }
 
-    /// Whether gateways watch each other by site.
+    /// Whether membership is tiered: gateways watch each other by site.
     pub(super) fn is_tiered(&self) -> bool {
         self.members.is_tiered()
     }
 
-    /// Hands an event to the membership.
+    /// Passes an event to the membership.
     pub(super) fn detect(&mut self, now: MonotonicTime, input: Input<'_>) -> Vec<Output> {
         self.members.handle(now, input)
     }
 
-    /// Another process had the socket of this gateway until now.
+    /// Handles that this process has taken over the gateway's socket from another one.
     pub(super) fn take_over_socket(&mut self, now: MonotonicTime) {
         self.members.take_over_socket(now, &self.file);
     }
@@ -144,7 +144,7 @@
         self.lease.handle(now, input);
     }
 
-    /// Handles health reports of another gateway; returns the stores that newly fail.
+    /// Handles health reports of another gateway; returns the stores that are newly reported as failing.
     pub(super) fn receive_health(
         &mut self,
         now: MonotonicTime,
@@ -159,7 +159,7 @@
         Ok(new.iter().filter(|report| failing(report)).map(|report| report.store).collect())
     }
 
-    /// Observes which stores this gateway itself avoids now.
+    /// Records which stores this gateway itself avoids now, and queues health reports of the changes.
     pub(super) fn observe_avoided(
         &mut self,
         now: MonotonicTime,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The round of health reports that is due.
+    /// Takes the round of health reports that is due, if one is.
     pub(super) fn take_health_round(&mut self, now: MonotonicTime) -> Option<HealthRound> {
         if now < self.health_reports_due {
             return None;
@@ -192,7 +192,7 @@
         Some(HealthRound { receivers, body: store_health::encode(&reports) })
     }
 
-    /// Computes the quotas that may be used.
+    /// Computes the quotas that may be used now.
     pub(super) fn update_quotas(&mut self, now: MonotonicTime) -> QuotaChange {
         let settings = LeaseSettings::of(&self.file);
         let quotas = self.quotas_leased.then(|| self.lease.share(&settings, now));
@@ -239,7 +239,7 @@
     }
 }
 
-/// Whether quotas differ by so much that the decision module has to know.
+/// Whether quotas differ by enough to notify the decision module.
 fn quotas_differ(old: Option<&Quotas>, new: Option<&Quotas>) -> bool {
     let differ = |old: f64, new: f64| (old - new).abs() > MIN_QUOTA_CHANGE * new;
     let any_differs =
--- a/gateway/src/peers/datagrams.rs
+++ b/gateway/src/peers/datagrams.rs
@@ -1,4 +1,5 @@
-//! The datagrams that gateways exchange: each is one envelope with a message of one part.
+//! The datagrams between gateways: each is one envelope with one message of the failure detector, the health gossip
+//! or the load sharing.
 use super::cluster::Cluster;
 use super::{member_number, Effect, Peers};
 use crate::clock;
@@ -11,13 +12,14 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Datagrams received in a turn of the loop: further ones stay in the socket's queue, and are lost where that is full.
+/// Most datagrams received per turn of the event loop; further ones stay in the socket's queue, and are lost if it is
+/// full.
 const MAX_DATAGRAMS_PER_TURN: usize = 256;
 impl Peers {
-    /// Sends a message to a gateway, if there is a socket.
+    /// Sends a message to the gateway with this index, if there is a socket.
     pub(super) fn send(&self, to: usize, kind: MessageKind, body: &[u8]) {
         if let (Some(socket), Some(address)) = (&self.socket, self.addresses.all.get(to)) {
-            // An error counts as loss on the way: no datagram is relied upon.
+            // An error is treated like a lost datagram, which all senders tolerate.
             let datagram = wire::encode(kind, member_number(self.addresses.own_index), body);
             let _ = uninterrupted(|| socket.send_to(&datagram, address));
         }
@@ -26,7 +28,7 @@
     /// Receives the datagrams that have arrived.
     pub fn receive_datagrams(&mut self, now: MonotonicTime) -> Vec<Effect> {
         let mut effects = Vec::new();
-        // One byte more than the longest: a datagram that is truncated here must not pass for a complete one.
+        // One byte more than the longest datagram, so that a truncated one is not accepted as complete.
         let mut buffer = [0; wire::MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Some(socket) = &self.socket else { break };
@@ -36,14 +38,14 @@
                     Err(error) => *self.rejected.entry(error).or_default() += 1,
                 },
                 Err(error) if Failure::of(&error).waits() => break,
-                // The error of an earlier send to a peer that is gone; datagrams of others may follow.
+                // The error of an earlier send to an unreachable peer; datagrams of others may follow.
                 Err(_) => {}
             }
         }
         effects
     }
 
-    /// Handles a datagram, if it comes from a gateway of the tier and can be decoded.
+    /// Handles a datagram; returns an error if it is not from a gateway of the tier or cannot be decoded.
     fn receive(
         &mut self,
         now: MonotonicTime,
@@ -58,7 +60,7 @@
         self.dispatch(now, envelope)
     }
 
-    /// Hands a datagram to its part; one of a part that is off here is ignored.
+    /// Passes a message to the component that it is for; ignores it if that component is off here.
     fn dispatch(&mut self, now: MonotonicTime, envelope: Envelope<'_>) -> Result<Vec<Effect>, DecodeError> {
         let Envelope { kind, from, body } = envelope;
         match (kind, &mut self.load_sharing, &mut self.cluster) {
@@ -79,20 +81,20 @@
         Ok(Vec::new())
     }
 
-    /// Carries out what the membership asks for.
+    /// Executes the outputs of the membership: sends its messages and logs its events.
     pub(super) fn execute(&self, outputs: Vec<tiers::Output>) {
         use tiers::Output::{Elected, Isolated, Paused, Reconnected, Resigned, Send, StateChanged};
         for output in outputs {
             match output {
                 Send { to, kind, body } => self.send(usize::from(to), kind, &body),
                 StateChanged { member, state: MemberState::Dead } => {
-                    warn!("gateway {member} is taken for dead");
+                    warn!("gateway {member} is considered dead");
                 }
                 StateChanged { member, state: MemberState::Left } => info!("gateway {member} has left"),
                 StateChanged { member, state: MemberState::Alive } => info!("gateway {member} is back"),
-                Paused(duration) => warn!(paused_ms = duration.as_millis(), "stood still"),
-                Isolated => warn!("no other gateway is heard"),
-                Reconnected => info!("other gateways are heard again"),
+                Paused(duration) => warn!(paused_ms = duration.as_millis(), "this process was paused"),
+                Isolated => warn!("no other gateway can be reached"),
+                Reconnected => info!("other gateways can be reached again"),
                 Elected { tier, term } => info!(term, "represents its {}", tier_name(tier)),
                 Resigned { tier } => info!("no longer represents its {}", tier_name(tier)),
             }
@@ -100,9 +102,9 @@
     }
 }
 
-/// The time of an event for the membership. One by site reads the clock for each: a grant that a voter reckons from
-/// before it received the request, since the process stood still in between, ends too early (T1 of
-/// `docs/design/membership-tiers.md`).
+/// The time of an event for the membership. Tiered membership reads the clock for each event: if the process was
+/// paused since the turn began, a voter would date its grant before it received the request, and the grant would end
+/// too early (T1 of `docs/design/membership-tiers.md`).
 pub(super) fn membership_time(cluster: &Cluster, turn_began_at: MonotonicTime) -> MonotonicTime {
     if cluster.is_tiered() {
         clock::now()
--- a/gateway/src/peers/effect.rs
+++ b/gateway/src/peers/effect.rs
@@ -1,4 +1,4 @@
-//! What the exchange between gateways asks the event loop to do.
+//! The effects that the exchange between gateways requests from the event loop.
 use larchway::ServerId;
 
 /// An effect to be carried out by the event loop.
--- a/gateway/src/peers/members.rs
+++ b/gateway/src/peers/members.rs
@@ -1,5 +1,6 @@
-//! Which gateways live: all of the tier, by one failure detector, or those of the own site, with the numbers of live
-//! gateways elsewhere, where the file of the fleet has sites.
+//! Which gateways are alive. Flat membership watches all gateways of the tier with one failure detector. Tiered
+//! membership, used if the file of the fleet has sites, watches those of the own site and knows the numbers of live
+//! gateways elsewhere.
 use super::{member_number, PeerSettings};
 use larchway::{mix, MonotonicTime};
 use larchway_cluster::failure_detector::{self, FailureDetector};
@@ -13,11 +14,11 @@
 pub(super) enum Members {
     /// Each gateway watches all others.
     Flat(Box<FailureDetector>),
-    /// Gateways watch each other by site.
+    /// Each gateway watches the others of its site.
     Tiered(Box<Tiered>),
 }
 
-/// The membership by site, zone and region, and what it was built from.
+/// The membership by site, zone and region, and the arguments that it was created with.
 pub(super) struct Tiered {
     topology: Arc<Topology>,
     own_member: u16,
@@ -26,12 +27,12 @@
     membership: TieredMembership,
 }
 
-/// The tiers for operators, with the leases of this gateway.
+/// The status of the tiers for operators, with the leases that this gateway holds.
 #[derive(Serialize)]
 pub(super) struct TiersStatus {
     #[serde(rename = "tiers")]
     report: TiersReport,
-    /// The groups that this gateway represents now, from below.
+    /// The leases by which this gateway represents its site, zone and region now, in this order.
     #[serde(rename = "represents")]
     leases: Vec<LeaseStatus>,
 }
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Takes a new file and a new configuration. What is known stays, unless the gateways' places have changed.
+    /// Replaces the file and the configuration. The state stays, unless the topology or the own member number has
+    /// changed.
     pub(super) fn configure(&mut self, now: MonotonicTime, file: FleetFile, settings: &PeerSettings) {
         let own_member = member_number(settings.addresses.own_index);
         match (self, &settings.topology) {
@@ -75,8 +77,9 @@
         }
     }
 
-    /// Begins anew if it is by site: the process that had the socket until now, in an upgrade, may have granted leases
-    /// of which this one knows nothing (T1 of `docs/design/membership-tiers.md`).
+    /// Handles that this process has taken over the socket from the old process of an upgrade: resets tiered
+    /// membership, since the old process may have granted leases that this one does not know (T1 of
+    /// `docs/design/membership-tiers.md`).
     pub(super) fn take_over_socket(&mut self, now: MonotonicTime, file: &FleetFile) {
         let Members::Tiered(tiered) = self else { return };
         let topology = tiered.topology.clone();
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Handles an event; datagrams of the other form of membership are ignored.
+    /// Handles an event; messages of the other kind of membership are ignored.
     pub(super) fn handle(&mut self, now: MonotonicTime, input: Input<'_>) -> Vec<Output> {
         match self {
             Members::Flat(detector) => handle_flat(detector, now, input),
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Other members that live, at most `number`, chosen at random; of the own site if it is by site.
+    /// At most `number` other live members, chosen at random; only of the own site if membership is tiered.
     pub(super) fn random_alive_others(&mut self, number: usize) -> Vec<u16> {
         match self {
             Members::Flat(detector) => detector.random_alive_others(number),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// The numbers by tier and the own leases, if it is by site.
+    /// The status of the tiers, if membership is tiered.
     pub(super) fn tiers_report(&self, now: MonotonicTime) -> Option<TiersStatus> {
         let Members::Tiered(tiered) = self else { return None };
         let membership = &tiered.membership;
@@ -143,7 +146,7 @@
         own_member: u16,
         seed: u64,
     ) -> Option<Self> {
-        // Another seed at each beginning, also within one process.
+        // The seed differs at each reset, also within one process.
         let started_at = (now - MonotonicTime::MIN).as_micros() as u64;
         let membership =
             TieredMembership::new(now, file, topology.clone(), own_member, mix(seed ^ started_at))?;
@@ -154,7 +157,8 @@
         self.own_member == own_member && *self.topology == *topology
     }
 
-    /// The report of the own site, with the members' numbers in the whole fleet: the detector has those in the site.
+    /// The report of the own site. The detector numbers members within the site; here they have their numbers in the
+    /// whole fleet.
     fn site_report(&self, now: MonotonicTime) -> failure_detector::Report {
         let site = self.topology.group_of(Tier::Site, self.own_member).unwrap_or_default();
         let members = self.topology.children(Tier::Site, site);
--- a/gateway/src/peers/members/tests.rs
+++ b/gateway/src/peers/members/tests.rs
@@ -1,4 +1,5 @@
-//! A process that takes over the socket of the one before it does not know what that one granted.
+//! Guards against two representatives of one group: a process that takes over the socket of an older one does not
+//! know which leases that one granted.
 use super::super::Addresses;
 use super::*;
 use larchway_cluster::lease::ClusterSize;
--- a/gateway/src/peers/mod.rs
+++ b/gateway/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The exchange with the other gateways of the tier: the datagram socket, and the parts that share it in one envelope
-//! (failure detector, gossip of stores' health, load sharing). The parts decide; this module does their I/O.
+//! The exchange with the other gateways of the tier: the datagram socket, and the components that share it (failure
+//! detector, gossip of stores' health, load sharing). The components decide; this module does their I/O.
 mod cluster;
 mod datagrams;
 mod effect;
@@ -22,29 +22,29 @@
 pub use effect::Effect;
 pub use settings::{Addresses, PeerSettings};
 
-/// The time after which listening is retried on an address that is not free: the other process of an upgrade has it.
+/// Interval at which listening is retried on an address in use. During an upgrade the old process still holds it.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What became of the datagram socket under other settings.
+/// Whether a change of settings has replaced the datagram socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SocketChange {
     /// It is the same.
     Unchanged,
-    /// It was replaced, or closed.
+    /// It was replaced or closed.
     Replaced,
 }
 
-/// The exchange of this gateway with its peers.
+/// The exchange of this gateway with the other gateways of its tier.
 pub struct Peers {
     addresses: Addresses,
     socket: Option<UdpSocket>,
-    /// The members' numbers by address.
+    /// The member numbers by address.
     numbers: BTreeMap<SocketAddr, u16>,
-    /// When listening is retried, if the address was not free.
+    /// When listening is retried, if the address was in use.
     listen_retry_at: Option<MonotonicTime>,
     load_sharing: Option<LoadSharing>,
     cluster: Option<Cluster>,
-    /// Datagrams rejected, by cause.
+    /// Number of rejected datagrams by cause.
     rejected: BTreeMap<DecodeError, u64>,
 }
 
@@ -54,13 +54,14 @@
     Ok(socket)
 }
 
-/// A member's number as datagrams carry it.
+/// The member number, as datagrams carry it, of the gateway with an index in the list of addresses.
 fn member_number(index: usize) -> u16 {
     u16::try_from(index).unwrap_or(u16::MAX)
 }
 
 impl Peers {
-    /// Starts the exchange and listens. Without a socket or peers, each part works by the observations of this gateway.
+    /// Starts the exchange and listens. Without a socket or peers, each component works by the observations of this
+    /// gateway alone.
     pub fn new(now: MonotonicTime, settings: &PeerSettings) -> Self {
         let mut peers = Peers {
             addresses: Addresses::default(),
@@ -75,7 +76,7 @@
         peers
     }
 
-    /// Replaces the settings; the state of the parts stays.
+    /// Replaces the settings; the state of the components stays.
     pub fn configure(&mut self, now: MonotonicTime, settings: &PeerSettings) -> SocketChange {
         self.configure_load_sharing(now, settings);
         self.configure_cluster(now, settings);
@@ -108,7 +109,7 @@
             (Some(cluster), Some(file)) => cluster.configure(membership_time(cluster, now), file, settings),
             (cluster, file) => *cluster = file.map(|file| Cluster::new(now, file, settings)),
         }
-        // In force with the configuration: the next tick need not notify of them.
+        // They take effect with the configuration, so the next tick need not notify of them.
         if let Some(cluster) = &mut self.cluster {
             cluster.update_quotas(now);
         }
@@ -118,7 +119,7 @@
         self.listen_retry_at = None;
         match self.addresses.own.map(open_socket) {
             Some(Ok(socket)) => self.socket = Some(socket),
-            // Not fatal: without peers each part works by the observations of this gateway.
+            // Not fatal: without peers each component works by the observations of this gateway alone.
             Some(Err(error)) => {
                 warn!(%error, "peer_listen: cannot listen");
                 self.listen_retry_at = Some(now + LISTEN_RETRY_INTERVAL);
@@ -142,8 +143,8 @@
         self.cluster.as_ref().and_then(Cluster::quotas)
     }
 
-    /// The number of gateways whose nodes exist, while the lease is held. The load of the others is estimated by it;
-    /// quotas go by [`Peers::quotas`].
+    /// The number of gateways whose nodes exist, while the lease is held. It serves to estimate the load by the
+    /// others; quotas are those of [`Peers::quotas`].
     pub fn standing(&self) -> Option<Standing> {
         self.cluster.as_ref().and_then(Cluster::standing)
     }
@@ -177,8 +178,8 @@
         changed.then_some(Effect::QuotasChanged).into_iter().collect()
     }
 
-    /// Runs the rounds that are due. `avoided`: the stores that the decision module avoids now by the observations of
-    /// this gateway.
+    /// Runs the rounds that are due. `avoided` has the stores that the decision module avoids now, by the
+    /// observations of this gateway.
     pub fn tick(&mut self, now: MonotonicTime, avoided: BTreeSet<ServerId>) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.listen_retry_at.is_some_and(|retry_at| retry_at <= now) {
--- a/gateway/src/peers/settings.rs
+++ b/gateway/src/peers/settings.rs
@@ -24,16 +24,16 @@
     pub spread: Option<SpreadFile>,
     /// The file of the fleet: failure detector, quota leases and gossip of stores' health.
     pub fleet: Option<FleetFile>,
-    /// The sites, zones and regions of the gateways, if they watch each other by site. Without the file of the fleet
-    /// they have no effect.
+    /// The sites, zones and regions of the gateways, if membership is tiered. Without the file of the fleet they have
+    /// no effect.
     pub topology: Option<Arc<Topology>>,
     /// The addresses of the gateways.
     pub addresses: Addresses,
-    /// The number of gateways by the configuration.
+    /// The number of gateways according to the configuration.
     pub configured: ClusterSize,
-    /// Whether quotas are leased: gateways have sessions with an ensemble.
+    /// Whether quotas are leased, which requires sessions with an ensemble.
     pub quotas_leased: bool,
-    /// The seed of random numbers; a new one at each start.
+    /// The seed of random numbers; it differs at each start.
     pub seed: u64,
 }
 
--- a/gateway/src/upgrade/discovery.rs
+++ b/gateway/src/upgrade/discovery.rs
@@ -1,4 +1,4 @@
-//! How a process that starts finds the gateway's other processes, by their sockets in the folder that all have.
+//! Discovery at the start: a process finds the gateway's other processes by their sockets in a shared folder.
 use super::ejections_file;
 use super::{Peer, Upgrade, MAX_PROCESSES, READ_BYTES};
 use crate::clock;
@@ -13,41 +13,41 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// How long a process that starts waits for the state of another one. Readiness is due within 6 s.
+/// How long a starting process waits for the state of another one; readiness is due within 6 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest path of a Unix socket, in bytes.
+/// Longest path of a Unix socket on Linux, in bytes.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
-/// The extension of the processes' sockets; what precedes it is the process id.
+/// The extension of the processes' sockets; the process id precedes it.
 const SOCKET_EXTENSION: &str = ".sock";
 
 /// Why the other processes of the gateway cannot be found.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// The path of the own socket is longer than that of a socket may be.
-    #[error("{} is too long a path for a socket", .0.display())]
+    /// The path of the own socket exceeds the system's limit.
+    #[error("{}: the path is too long for a Unix socket", .0.display())]
     PathTooLong(PathBuf),
     /// The folder cannot be read, or the own socket cannot be created in it.
     #[error("{}: {source}", path.display())]
     Unusable {
-        /// What is unusable.
+        /// The folder or the socket.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// Why another process does not send its state.
+/// Why the state of another process could not be received.
 #[derive(Debug, Error)]
 enum RequestError {
     #[error("{0}")]
     Failed(#[from] io::Error),
-    #[error("it has ended")]
+    #[error("it closed the connection")]
     Ended,
-    #[error("it is not understood: {0}")]
+    #[error("it sent an invalid frame: {0}")]
     Malformed(FrameError),
 }
 
-/// What a process finds when it starts.
+/// The result of the discovery.
 pub struct Discovery {
     /// The other processes.
     pub upgrade: Upgrade,
@@ -59,13 +59,13 @@
 
 /// A frame of another process.
 pub struct ReceivedFrame {
-    /// The place of the process.
+    /// The index of the process's connection, below [`MAX_PROCESSES`].
     pub place: usize,
     /// The frame.
     pub frame: Frame,
 }
 
-/// The other processes that replied.
+/// The other processes that replied, by index.
 #[derive(Default)]
 struct FoundProcesses {
     peers: [Option<Peer>; MAX_PROCESSES],
@@ -73,7 +73,7 @@
 }
 
 impl Upgrade {
-    /// Finds the gateway's other processes, and listens for those to come.
+    /// Finds the gateway's other processes, and listens for later ones.
     pub fn discover(folder: &Path, name: &str) -> Result<Discovery, DiscoveryError> {
         let file_prefix = format!("larchway-{}.", durable_file::file_name(name));
         let own_path = folder.join(format!("{file_prefix}{}{SOCKET_EXTENSION}", std::process::id()));
@@ -86,7 +86,7 @@
         paths.retain(|path| *path != own_path);
         let FoundProcesses { peers, frames } = request_states(&paths, name);
         let listener = listen(&own_path).map_err(|source| unusable_path(&own_path, source))?;
-        // Read by the clock that is shared with the other processes, if there are any.
+        // Loaded only now, since the clock continues that of the other processes, if there are any.
         let saved_ejections =
             ejections_file.load(MAX_FRAME_LENGTH, ejections_file::decode).unwrap_or_default();
         let upgrade = Upgrade { listener, own_path, ejections_file, peers };
@@ -123,11 +123,11 @@
                 found.peers[place] = Some(peer);
                 found.frames.extend(frames.into_iter().map(|frame| ReceivedFrame { place, frame }));
             }
-            // A process that was killed leaves its socket behind.
+            // A killed process leaves its socket behind: remove it.
             Err(RequestError::Failed(error)) if Failure::of(&error) == Failure::Refused => {
                 drop(std::fs::remove_file(path));
             }
-            Err(error) => warn!(path = %path.display(), %error, "another process tells nothing"),
+            Err(error) => warn!(path = %path.display(), %error, "cannot get the state of another process"),
         }
     }
     found
@@ -162,7 +162,8 @@
     Ok(())
 }
 
-/// Takes the complete frames from an input. The clock continues that of a process as soon as its state is there.
+/// Takes the complete frames from an input. As soon as a state is received, the own clock continues that of its
+/// sender.
 fn take_frames(input: &mut Vec<u8>, frames: &mut Vec<Frame>) -> Result<(), RequestError> {
     while let Some(DecodedFrame { frame, length }) =
         Frame::decode_first(input).map_err(RequestError::Malformed)?
@@ -176,10 +177,10 @@
     Ok(())
 }
 
-/// Listens at the own path.
+/// Listens on the own socket path.
 fn listen(own_path: &Path) -> io::Result<UnixListener> {
     let deadline = Instant::now() + REQUEST_TIMEOUT;
-    // No other process has this process id now, so what stands there was left behind.
+    // No other process has this process id now, so an existing socket was left behind by an earlier one.
     match std::fs::remove_file(own_path) {
         Err(error) if !is_missing(&error) => return Err(error),
         _ => {}
--- a/gateway/src/upgrade/ejections_file.rs
+++ b/gateway/src/upgrade/ejections_file.rs
@@ -1,4 +1,4 @@
-//! The manual ejections in the file for the processes to come. Times in it are on the Unix clock.
+//! The file that saves the manual ejections for later processes. Times in it are on the Unix clock.
 use crate::clock;
 use larchway::MonotonicTime;
 use larchway_operations::handover::{Frame, FrameError};
@@ -6,12 +6,12 @@
 use larchway_unix_time::UnixMicros;
 use thiserror::Error;
 
-/// Why a file holds no records.
+/// Why the content of a file cannot be decoded.
 #[derive(Debug, Error)]
 pub(super) enum EjectionsFileError {
     #[error("{0}")]
     Malformed(FrameError),
-    #[error("it is another frame")]
+    #[error("it holds a frame of another kind")]
     OtherFrame,
 }
 
@@ -34,8 +34,8 @@
     EjectionRecord { recorded_at: MonotonicTime::from_micros(unix.as_micros()), ..record }
 }
 
-/// A record with its time on the monotonic clock. One from what is the future here is from now: a store that was
-/// restored would be warming up until then.
+/// A record with its time on the monotonic clock. A time in the future counts as now: otherwise a restored store
+/// would be in slow start until then.
 pub(super) fn from_file_clock(record: EjectionRecord) -> EjectionRecord {
     let anchor = clock::file_anchor();
     let recorded_at = anchor.to_monotonic(UnixMicros::from_micros(record.recorded_at.as_micros()));
--- a/gateway/src/upgrade/mod.rs
+++ b/gateway/src/upgrade/mod.rs
@@ -1,6 +1,6 @@
-//! The processes of one gateway during an upgrade: they find each other by Unix sockets in a folder that all have, and
-//! send each other what the next one needs. A connection that ends is a process that has ended. This module owns the
-//! sockets and knows the form of the frames; the event loop carries them out.
+//! The processes of one gateway during an upgrade: they find each other by Unix sockets in a shared folder, and send
+//! each other the state that the next one needs. A closed connection means that the process has ended. This module
+//! owns the sockets and decodes the frames; the event loop handles them.
 mod discovery;
 mod ejections_file;
 
@@ -16,11 +16,12 @@
 use std::path::PathBuf;
 use tracing::warn;
 
-/// Other processes at once: a second upgrade may begin while the first one's old process still replies to clients.
+/// Most other processes at once: a second upgrade may begin while the old process of the first one still serves
+/// clients.
 pub const MAX_PROCESSES: usize = 6;
-/// Bytes that are read at once.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 64 * 1024;
-/// Unsent bytes beyond which a process that reads nothing is given up.
+/// Unsent bytes beyond which the connection to a process that does not read is closed.
 const MAX_OUTPUT_BYTES: usize = 2 * MAX_FRAME_LENGTH;
 
 /// The connection to another process.
@@ -30,26 +31,26 @@
     output: Vec<u8>,
 }
 
-/// What is next at the connection to another process.
+/// The state of the connection to another process.
 pub enum ProcessState {
-    /// It is to be read from.
+    /// Poll it for reading.
     Reading,
-    /// It is to be read from and written to.
+    /// Poll it for reading and writing: output is pending.
     Writing,
-    /// The process has ended.
+    /// It is closed: the process has ended, or its connection was given up.
     Ended(UnixStream),
 }
 
-/// What was read from another process.
+/// The frames read from another process.
 #[derive(Default)]
 pub struct ReadFrames {
-    /// The frames.
+    /// The complete frames, in order.
     pub frames: Vec<Frame>,
-    /// The state of the connection afterwards; none without such a process.
+    /// The state of the connection afterwards; none if there is no such process.
     pub state: Option<ProcessState>,
 }
 
-/// Whether the connection to a process goes on.
+/// Whether the connection to a process is still usable.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Liveness {
     Alive,
@@ -57,7 +58,7 @@
 }
 
 impl Peer {
-    /// Reads what has come, up to the length of a frame and one read.
+    /// Reads the available bytes, up to the length of the longest frame and one buffer more.
     fn read(&mut self) -> Liveness {
         let mut buffer = vec![0; READ_BYTES];
         while self.input.len() <= MAX_FRAME_LENGTH {
@@ -70,7 +71,7 @@
         Liveness::Alive
     }
 
-    /// Takes the complete frames from the input. A process that sends no valid frame is given up.
+    /// Takes the complete frames from the input. The connection is given up if a frame is invalid.
     fn take_frames(&mut self, frames: &mut Vec<Frame>) -> Liveness {
         loop {
             match Frame::decode_first(&self.input) {
@@ -80,7 +81,7 @@
                 }
                 Ok(None) => return Liveness::Alive,
                 Err(error) => {
-                    warn!(%error, "another process of this gateway is not understood");
+                    warn!(%error, "another process of this gateway sent an invalid frame");
                     return Liveness::Ended;
                 }
             }
@@ -90,7 +91,7 @@
 
 /// The other processes of the gateway.
 pub struct Upgrade {
-    /// The listener for processes to come.
+    /// The listener for later processes.
     pub listener: UnixListener,
     own_path: PathBuf,
     ejections_file: DurableFile,
@@ -98,12 +99,12 @@
 }
 
 impl Upgrade {
-    /// The places at which there are other processes.
+    /// The indices of the connected processes.
     pub fn places(&self) -> Vec<usize> {
         (0..MAX_PROCESSES).filter(|place| self.peers[*place].is_some()).collect()
     }
 
-    /// Accepts another process, if one waits; returns its place.
+    /// Accepts the connection of another process, if one is pending; returns its index.
     pub fn accept(&mut self) -> io::Result<Option<usize>> {
         let Some((stream, _)) = accept_outcome(self.listener.accept())? else { return Ok(None) };
         let free = self.peers.iter().position(Option::is_none);
@@ -150,12 +151,12 @@
         self.peers[place].take().map(|peer| ProcessState::Ended(peer.stream))
     }
 
-    /// The file in which the manual ejections are saved for the processes to come.
+    /// The file in which the manual ejections are saved for later processes.
     pub fn ejections_file(&self) -> &DurableFile {
         &self.ejections_file
     }
 
-    /// The content of that file.
+    /// Encodes manual ejections as the content of that file.
     pub fn ejections_content(records: &[EjectionRecord]) -> Vec<u8> {
         ejections_file::encode(records)
     }
@@ -163,7 +164,7 @@
 
 impl Drop for Upgrade {
     fn drop(&mut self) {
-        // Nobody can be notified of an error here, and the next process removes what is left.
+        // An error cannot be reported here, and the next process removes a socket that is left behind.
         let _ = std::fs::remove_file(&self.own_path);
     }
 }
--- a/gateway/src/upgrade/tests.rs
+++ b/gateway/src/upgrade/tests.rs
@@ -4,7 +4,8 @@
 use larchway_operations::manual_ejection::EjectionRecord;
 use std::time::Duration;
 
-/// Both times are read within a moment; a test that hangs for as long says nothing of the clock.
+/// The clock is read twice within moments; a difference of this size means that the test was suspended, not that the
+/// clock is wrong.
 const MINUTE: Duration = Duration::from_secs(60);
 
 fn record(recorded_at: MonotonicTime) -> EjectionRecord {
@@ -17,7 +18,8 @@
     assert_eq!(from_file_clock(to_file_clock(original.clone())), original);
 }
 
-/// The Unix clock was put back between the two: a restored store would be warming up for as long.
+/// Guards against a Unix clock that is set back between save and load: a restored store would be in slow start for
+/// that time.
 #[test]
 fn a_record_from_the_future_counts_as_of_now() {
     let before = clock::now();
