--- a/gateway/src/clock/mod.rs
+++ b/gateway/src/clock/mod.rs
@@ -1,12 +1,12 @@
 //! The gateway's clocks, and the one place where Unix time is converted to monotonic time and back
 //! (`docs/design/time.md`).
 //!
-//! All deadlines, windows, ages and leases are by [`now`], which nothing steps. Unix time ([`UnixMicros`]) exists only
-//! on wires and in files.
+//! All deadlines, windows, ages and leases use [`now`], which is never stepped. Unix time ([`UnixMicros`]) exists
+//! only on wires and in files.
 //!
-//! Monotonic times begin with the Unix time at the start of the process, and advance by the steady clock. Danger: a
-//! time that another process has written, by a Unix clock that has stepped meanwhile, is none of these; it is converted
-//! by an [`Anchor`].
+//! Monotonic times begin with the Unix time at the start of the process, and advance by the steady clock. A time that
+//! another process has written must be converted by an [`Anchor`]: the Unix clock may have been stepped between the
+//! starts of the two processes, so that their monotonic times differ.
 pub mod start_dates;
 pub mod wire;
 
@@ -18,25 +18,25 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// How far the clocks of two processes may differ without one taking the other's over: what a message between them and
-/// the readings take.
+/// How far the clock of a process may be ahead of that of the earlier process and still count as the same: the time
+/// that a message between them and the two readings take.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
-/// The least time of the monotonic clock: a year. Code subtracts spans from the current time.
+/// The lowest time of the monotonic clock: one year, so that code can subtract durations from the current time.
 const MIN_MONOTONIC: MonotonicTime = MonotonicTime::from_micros(365 * 24 * 3600 * MICROS_PER_SECOND);
-/// Readings of both clocks at most until a pair is close.
+/// Most attempts to read both clocks close to each other.
 const MAX_READINGS: usize = 5;
-/// µs between the two readings of a close pair.
+/// Longest time in µs between the two readings of a pair that is close enough.
 const CLOSE_PAIR_MICROS: u128 = 1000;
 
-/// The start of the process, by both clocks.
+/// The start of the process on the steady clock and on the Unix clock.
 struct ProcessStart {
     steady: Instant,
     unix: UnixMicros,
 }
 
 impl ProcessStart {
-    /// Reads both clocks. Danger: a thread that is suspended between the two readings would leave the one behind the
-    /// other for good, so the closest of some pairs counts.
+    /// Reads both clocks, and uses the closest of several pairs of readings: if the thread is suspended between two
+    /// readings, the one clock would lag behind the other for the life of the process.
     fn read() -> Self {
         let mut closest: Option<(u128, ProcessStart)> = None;
         for _ in 0..MAX_READINGS {
@@ -60,10 +60,10 @@
 }
 
 static PROCESS_START: LazyLock<ProcessStart> = LazyLock::new(ProcessStart::read);
-/// µs by which the monotonic clock is adjusted to continue that of the process before this one.
+/// Adjustment of the monotonic clock in µs, with which it continues that of the gateway's earlier process.
 static ADJUSTMENT: AtomicI64 = AtomicI64::new(0);
 
-/// The monotonic time.
+/// The current monotonic time.
 pub fn now() -> MonotonicTime {
     let start = &*PROCESS_START;
     let unadjusted = start.monotonic() + start.steady.elapsed();
@@ -71,33 +71,33 @@
     MonotonicTime::from_micros(unadjusted.as_micros().saturating_add_signed(adjustment))
 }
 
-/// The Unix clock as it is now, right or wrong: for the expiry of links, the `Date` of replies and log lines.
+/// The Unix clock as it is now, without any correction: for the expiry of links, the `Date` of replies and log lines.
 pub fn unix_now() -> UnixMicros {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     UnixMicros::from_micros(since.as_micros() as u64)
 }
 
-/// A Unix time as the standard library has it.
+/// Converts a Unix time to the type of the standard library.
 pub fn system_time(time: UnixMicros) -> SystemTime {
     UNIX_EPOCH + Duration::from_micros(time.as_micros())
 }
 
-/// The anchor of times on wires: the Unix clock as it was at the start of the process. A step of that clock changes
-/// nothing here, so of two times on wires the later one stays the later one.
+/// The anchor for times in messages: the Unix clock as it was at the start of the process. Later steps of that clock
+/// have no effect, so the order of times in messages is preserved.
 pub fn wire_anchor() -> Anchor {
     let start = &*PROCESS_START;
     Anchor { monotonic: start.monotonic(), unix: start.unix }
 }
 
-/// The anchor of times in files: the Unix clock as it is now. The reader may be another process, which started by
-/// another clock.
+/// The anchor for times in files: the Unix clock as it is now, since the reader may be another process that started
+/// after a step of that clock.
 pub fn file_anchor() -> Anchor {
     let monotonic = now();
     Anchor { monotonic, unix: steady_unix(monotonic, unix_now(), wire_anchor()) }
 }
 
-/// The reading of the Unix clock without the jitter between two readings: its steps since the start count in units of a
-/// second, so that a time that is written and read again is the same to the microsecond.
+/// A reading of the Unix clock without the jitter between two readings: its steps since the start are rounded to
+/// whole seconds, so that a time that is saved and loaded again is the same to the microsecond.
 fn steady_unix(now: MonotonicTime, unix: UnixMicros, start: Anchor) -> UnixMicros {
     let expected = start.to_unix(now).as_micros();
     let half_second = MICROS_PER_SECOND / 2;
@@ -110,18 +110,18 @@
     UnixMicros::from_micros(steady)
 }
 
-/// Continues the clock of the gateway's earlier process, which has just sent its time: the two send each other times on
-/// one clock. To be called before any time is taken from here.
+/// Continues the clock of the gateway's earlier process, which has just sent its time, so that the times in messages
+/// between the two are on one clock. Must be called before any other use of [`now`].
 pub fn continue_from(earlier_process: MonotonicTime) {
-    // No clock of a gateway is before that.
+    // No gateway has a clock below that: the time is invalid.
     if earlier_process < MIN_MONOTONIC {
         return;
     }
     ADJUSTMENT.fetch_add(adjustment(now(), earlier_process), Ordering::Relaxed);
 }
 
-/// µs by which a clock is adjusted to continue that of an earlier process. Danger: a time that lies ahead of the own
-/// clock breaks whatever subtracts it from now, so the clock is never behind that of the earlier process.
+/// The adjustment in µs by which a clock continues that of an earlier process. The result is never behind that clock,
+/// since code subtracts received times from the current time and fails with a time in the future.
 fn adjustment(own: MonotonicTime, earlier_process: MonotonicTime) -> i64 {
     if earlier_process <= own && own - earlier_process <= CLOCK_TOLERANCE {
         return 0;
--- a/gateway/src/clock/start_dates.rs
+++ b/gateway/src/clock/start_dates.rs
@@ -1,27 +1,28 @@
-//! When the listed stores started, as the decision module gets it: never earlier than is known.
+//! The start times of the listed stores for the decision module: never earlier than the reported times prove.
 //!
-//! A listed start is a Unix time, converted by the own clock. Where that clock is fast, a store that has just started
-//! seems to have been up for as long, and would be sent more than it bears. So its age counts on the clock of those who
-//! report: up to the latest time that they have reported. As later reports come, starts turn out to be earlier.
+//! A listed start is a Unix time, converted by the own clock. If that clock is fast, a store that has just started
+//! seems to have been up for that long, and would get more load than it can serve. So its age is computed on the
+//! clock of the machines that report times: up to the latest time that they have reported. Later reports can show
+//! that starts were earlier.
 use larchway::{DatedStart, MonotonicTime, ServerId, State};
 use larchway_endpoints::{Endpoint, ListScope};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tracing::info;
 
-/// How much two sources may differ in when a process started.
+/// How far two sources may differ about the start of one process.
 const START_TOLERANCE: Duration = Duration::from_secs(1);
-/// Starts that are remembered at most. At the bound the earliest one is forgotten.
+/// Most starts that are remembered; beyond that the earliest one is dropped.
 const MAX_STARTS: usize = 20_000;
-/// Ages up to which starts are logged.
+/// Highest age at which a start is logged.
 const LOGGED_AGE: Duration = Duration::from_secs(60);
 
 /// The start of a store's process.
 #[derive(Debug, Clone, Copy)]
 struct StartDate {
-    /// As the list has it, by the own clock.
+    /// The start in the list, converted by the own clock.
     listed: MonotonicTime,
-    /// As the decision module has it.
+    /// The start that the decision module uses.
     dated: MonotonicTime,
 }
 
@@ -29,12 +30,12 @@
 #[derive(Debug, Default)]
 pub struct StartDates {
     by_server: BTreeMap<ServerId, StartDate>,
-    /// How far the own clock may be fast; none before others have reported a time.
+    /// The most that the own clock can be fast; none before other machines have reported a time.
     max_fast: Option<Duration>,
 }
 
 impl StartDates {
-    /// Dates the starts of the entries of a list, or of a change of it.
+    /// Replaces the starts in the entries of a list, or of a change of it, by those for the decision module.
     pub fn date_entries(&mut self, now: MonotonicTime, scope: ListScope, entries: &mut [Endpoint]) {
         if scope.is_complete() {
             let named: BTreeSet<ServerId> = entries.iter().map(|entry| entry.host.server).collect();
@@ -55,7 +56,7 @@
         if let Some(known) = known.filter(|known| listed <= known.listed.saturating_add(START_TOLERANCE)) {
             return known.dated;
         }
-        // Danger: by a wall clock that is ahead, a store that has just started would count as warm.
+        // By a Unix clock that is fast, a store that has just started would be treated as warmed up.
         let dated = self.earliest(listed).min(now);
         self.by_server.insert(server, StartDate { listed, dated });
         self.forget_earliest();
@@ -67,7 +68,7 @@
         dated
     }
 
-    /// The earliest time that a start can be, for all that is known.
+    /// The earliest start that can be assumed if the own clock is as fast as it can be.
     fn earliest(&self, listed: MonotonicTime) -> MonotonicTime {
         listed.saturating_add(self.max_fast.unwrap_or(Duration::MAX))
     }
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Others have reported times, by which the own clock is fast by so much at most. Returns the starts that turn out
-    /// to be earlier: none where the bound has not come down to half, so that each report does not cost a walk.
+    /// Lowers the bound on how fast the own clock can be, and returns the starts that turn out to be earlier. Does
+    /// nothing unless the bound is at most half of the previous one, since each change walks through all starts.
     pub fn lower_max_fast(&mut self, max_fast: Option<Duration>) -> Vec<DatedStart> {
         let is_lower = match (max_fast, self.max_fast) {
             (None, _) => false,
@@ -104,8 +105,8 @@
         earlier
     }
 
-    /// Another process of this gateway dates the starts so, on the clock that both share. Returns those that are the
-    /// same starts and are known to be earlier there: it has read more reports.
+    /// Takes over earlier starts from another process of this gateway, on the clock that both share: it may have
+    /// received more reports. Returns the starts that have changed; those of other processes of a store are ignored.
     pub fn take_over(&mut self, others: impl Iterator<Item = DatedStart>) -> Vec<DatedStart> {
         let mut earlier = Vec::new();
         for other in others {
--- a/gateway/src/clock/start_dates/tests.rs
+++ b/gateway/src/clock/start_dates/tests.rs
@@ -10,7 +10,7 @@
     Endpoint { host, name: format!("s-{server}"), dial: None }
 }
 
-/// The start of a store as it is dated, by a change of the list.
+/// The start of a store that results from a change of the list.
 fn date_start(
     dates: &mut StartDates,
     now: MonotonicTime,
@@ -28,11 +28,16 @@
     dates
 }
 
-/// By a clock that is an hour fast, what started a second ago seems to have started an hour ago.
+/// Guards against a clock that is an hour fast, by which a store that started a second ago seems to be an hour old
+/// and would get its full load.
 #[test]
 fn no_start_is_dated_earlier_than_the_reports_of_others_allow() {
     let mut dates = dates_with_max_fast(HOUR + SECOND);
-    assert_eq!(date_start(&mut dates, NOW, 1, NOW - HOUR - SECOND), NOW, "it is the latest report itself");
+    assert_eq!(
+        date_start(&mut dates, NOW, 1, NOW - HOUR - SECOND),
+        NOW,
+        "it is the latest reported time itself"
+    );
     assert_eq!(date_start(&mut dates, NOW, 2, NOW - HOUR - 9 * SECOND), NOW - 8 * SECOND);
     assert_eq!(date_start(&mut StartDates::default(), NOW, 1, NOW - HOUR), NOW, "nothing was reported");
 }
@@ -52,14 +57,18 @@
         assert_eq!(date_start(&mut dates, NOW + later * SECOND, 1, listed), first, "listed as {listed:?}");
     }
     let restarted = date_start(&mut dates, NOW + 20 * SECOND, 1, listed + 19 * SECOND);
-    assert_eq!(restarted, NOW + 19 * SECOND, "another process");
+    assert_eq!(restarted, NOW + 19 * SECOND, "another process of the store");
 }
 
 #[test]
 fn later_reports_show_that_starts_were_earlier() {
     let mut dates = dates_with_max_fast(HOUR);
     assert_eq!(date_start(&mut dates, NOW, 1, NOW - HOUR), NOW);
-    assert_eq!(dates.lower_max_fast(Some(HOUR - SECOND)), Vec::new(), "too little to walk over all");
+    assert_eq!(
+        dates.lower_max_fast(Some(HOUR - SECOND)),
+        Vec::new(),
+        "too small a change to walk through all starts"
+    );
     let earlier = vec![DatedStart { server: 1, started: NOW - HOUR + SECOND }];
     assert_eq!(dates.lower_max_fast(Some(SECOND)), earlier);
     assert_eq!(dates.lower_max_fast(Some(SECOND)), Vec::new());
@@ -76,9 +85,13 @@
     assert_eq!(
         dates.take_over(other(listed - 2 * SECOND)),
         Vec::new(),
-        "that was another process of the store"
+        "the start is that of another process of the store"
+    );
+    assert_eq!(
+        dates.take_over(other(NOW + SECOND)),
+        Vec::new(),
+        "the other process has received fewer reports"
     );
-    assert_eq!(dates.take_over(other(NOW + SECOND)), Vec::new(), "it knows less");
     assert_eq!(dates.take_over(other(listed + SECOND)).len(), 1);
     assert_eq!(date_start(&mut dates, NOW, 1, listed), listed + SECOND);
 }
--- a/gateway/src/clock/tests.rs
+++ b/gateway/src/clock/tests.rs
@@ -11,7 +11,7 @@
     let (first, anchor) = (now(), wire_anchor());
     assert!(first >= MIN_MONOTONIC && first >= anchor.monotonic);
     assert!(now() >= first);
-    assert_eq!(anchor, wire_anchor(), "wires are read by the beginning, whatever the Unix clock says now");
+    assert_eq!(anchor, wire_anchor(), "the anchor of messages does not change with the Unix clock");
 }
 
 #[test]
--- a/gateway/src/clock/wire/clock_error.rs
+++ b/gateway/src/clock/wire/clock_error.rs
@@ -1,31 +1,32 @@
-//! The error of this machine's Unix clock, as far as the times that other machines report show it.
+//! Bounds on the error of this machine's Unix clock, by the times that other machines report.
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// Bounds of the error. All times are on the monotonic clock, as the Unix clock had it at the start of the process.
+/// Bounds on the error of the own clock. All times are on the monotonic clock, converted by the Unix clock at the
+/// start of the process.
 #[derive(Debug, Default)]
 pub(super) struct ClockError {
-    /// How far the latest reported time lies behind the own clock, at least; none before one was reported.
+    /// The smallest lag of a reported time behind the own clock when it was reported; none before the first.
     min_lag: Option<Duration>,
-    /// How far times of the source of events lie ahead of the own clock: the own clock is slow by that much.
+    /// How far the own clock is known to be slow: the most by which a time of the event source was ahead of it.
     slow_by: Duration,
 }
 
 impl ClockError {
-    /// Observes a time that was reported as past: the present is no earlier.
+    /// Observes a reported time, which cannot lie in the future.
     pub(super) fn observe(&mut self, now: MonotonicTime, reported: MonotonicTime) {
         let lag = now.saturating_since(reported);
         self.min_lag = Some(self.min_lag.map_or(lag, |least| least.min(lag)));
     }
 
-    /// Observes a time that the source of events reports, whose clock is that of the fleet.
+    /// Observes a time reported by the event source, whose clock is the reference of the fleet.
     pub(super) fn observe_source(&mut self, now: MonotonicTime, reported: MonotonicTime) {
         self.observe(now, reported);
         self.slow_by = self.slow_by.max(reported.saturating_since(now));
     }
 
-    /// How far the own clock may be fast, at most: nothing that others report lies in the future. None before a time
-    /// was reported.
+    /// The most that the own clock can be fast, since no reported time lies in the future. None before a time was
+    /// reported.
     pub(super) fn max_fast(&self) -> Option<Duration> {
         self.min_lag
     }
@@ -35,8 +36,8 @@
         now.saturating_add(self.slow_by)
     }
 
-    /// The least age that something of a reported time can have. Where no reported time is close to the own clock, that
-    /// may be fast, and ages count from the latest reported time.
+    /// The lowest possible age of an event with a reported time. If no reported time is close to the own clock, the
+    /// clock may be fast, and ages are computed from the latest reported time.
     pub(super) fn min_age(&self, now: MonotonicTime, reported: MonotonicTime) -> Duration {
         let age = now.saturating_since(reported);
         match self.min_lag {
--- a/gateway/src/clock/wire/mod.rs
+++ b/gateway/src/clock/wire/mod.rs
@@ -1,8 +1,8 @@
-//! Times that other machines report, on the gateway's monotonic clock (`docs/design/time.md`).
+//! Converts times that other machines report to the gateway's monotonic clock (`docs/design/time.md`).
 //!
-//! The own Unix clock may be wrong by any amount. What others report bounds the error: nothing reported can lie in the
-//! future. So an age is taken as the least that is possible where a higher one would be dangerous (a purge, the start
-//! of a store), and as the most where a lower one would be (a copy). From its receipt an age grows by the monotonic
+//! The own Unix clock may be wrong by any amount. Reported times bound the error, since they cannot lie in the
+//! future. Where an overestimated age would do harm (a purge, the start of a store), the lowest possible age is
+//! assumed; where an underestimated one would (a copy), the highest. After its receipt an age grows by the monotonic
 //! clock alone.
 mod clock_error;
 mod store_starts;
@@ -18,7 +18,8 @@
 use std::time::Duration;
 use store_starts::StoreStarts;
 
-/// How far clocks may differ that count as the same: a time reported as that far in the future counts as present.
+/// How far two clocks may differ and still count as equal: a reported time up to this far in the future counts as the
+/// present.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// When the origin issued a copy.
@@ -26,36 +27,36 @@
 pub struct CopyTimes {
     /// As reported, to be compared only with the reported issue times of purges.
     pub issued: MonotonicTime,
-    /// On the gateway's own clock: the copy's age counts from here.
+    /// On the gateway's own clock; the age of the copy is computed from this time.
     pub issued_local: MonotonicTime,
 }
 
-/// Converts times from wires to the monotonic clock.
+/// Converts reported times to the monotonic clock.
 #[derive(Debug, Default)]
 pub struct WireTimes {
     anchor: Anchor,
     clock_error: ClockError,
     starts: StoreStarts,
-    /// Whether a complete list of stores is known: until then no reported start counts as live.
+    /// Whether a complete list of stores was received; until then no reported start is treated as live.
     list_complete: bool,
 }
 
-/// How an event arrived.
+/// Whether an event may report the past.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// In the configuration or with the first list: it may report what happened long ago.
+    /// Received in the configuration or with the first list: it may report what happened long ago.
     Initial,
-    /// As a change while the gateway runs: a start that it reports is a recent one.
+    /// Received as a change while the gateway runs: a reported start is a recent one.
     Live,
 }
 
 impl WireTimes {
-    /// By the clocks of this process.
+    /// Uses the clocks of this process.
     pub fn new() -> Self {
         WireTimes { anchor: clock::wire_anchor(), ..WireTimes::default() }
     }
 
-    /// Observes the times of events that are known together, before each of them is converted.
+    /// Observes the times of events that were received together. To be called before any of them is converted.
     pub fn prepare(&mut self, now: MonotonicTime, events: &[BulletinEvent]) {
         for event in events {
             match &event.body {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The change that an event makes, on the monotonic clock; none if it makes none.
+    /// The change that an event makes, with times on the monotonic clock; none for events without one.
     pub fn change(&mut self, now: MonotonicTime, body: EventBody, arrival: Arrival) -> Option<Change> {
         match body {
             EventBody::EndpointList { scope, endpoints } => {
@@ -119,8 +120,8 @@
         endpoint
     }
 
-    /// When a store started. A start that is reported live is taken to be as late as it can be: a store that is taken
-    /// for older than it is gets more load than it can serve.
+    /// When a store started. For a start that is reported live the latest possible time is assumed: a store that
+    /// seems older than it is gets more load than it can serve.
     fn start(
         &mut self,
         now: MonotonicTime,
@@ -141,8 +142,8 @@
         started_at
     }
 
-    /// The times of a copy that a store has just replied with, reported as issued by the origin at a time. None if no
-    /// time was reported, or one in the future: such a copy would never expire.
+    /// The times of a copy in a store's reply, by the reported time at which the origin issued it. None if no time
+    /// was reported, or one in the future: such a copy would never expire.
     pub fn copy(&mut self, now: MonotonicTime, issued: UnixMicros) -> Option<CopyTimes> {
         if issued.is_unset() {
             return None;
@@ -156,17 +157,18 @@
         Some(CopyTimes { issued, issued_local: now.saturating_sub(latest.saturating_since(issued)) })
     }
 
-    /// How far the own clock may be fast, at most, by what others have reported so far; none before a report.
+    /// The most that the own clock can be fast, by the times reported so far; none before the first.
     pub fn max_fast(&self) -> Option<Duration> {
         self.clock_error.max_fast()
     }
 
-    /// The latest time that others may report as the present: by the own clock, and how slow it is known to be.
+    /// The latest time that other machines may report as the present: the own clock, plus the amount by which it is
+    /// known to be slow.
     pub fn latest(&self, now: MonotonicTime) -> MonotonicTime {
         self.clock_error.latest(now)
     }
 
-    /// A time reported by the source of events, on the monotonic clock.
+    /// Converts a time reported by the event source to the monotonic clock, and observes it.
     fn source_time(&mut self, now: MonotonicTime, reported: UnixMicros) -> MonotonicTime {
         let reported_at = self.anchor.to_monotonic(reported);
         self.clock_error.observe_source(now, reported_at);
--- a/gateway/src/clock/wire/store_starts.rs
+++ b/gateway/src/clock/wire/store_starts.rs
@@ -1,24 +1,24 @@
-//! The starts of the listed stores' processes.
+//! The reported starts of the listed stores' processes.
 use super::CLOCK_TOLERANCE;
 use larchway::{duration_micros, MonotonicTime, ServerId};
 use larchway_unix_time::{Anchor, UnixMicros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Starts that are remembered at most. At the bound the earliest one is forgotten: that store has warmed up anyway.
+/// Most starts that are remembered. Beyond that the earliest one is dropped, since that store has warmed up.
 pub(super) const MAX_STARTS: usize = 20_000;
 
 /// The start of a store's process.
 #[derive(Debug, Clone, Copy)]
 struct Start {
-    /// As it was reported.
+    /// The reported time.
     reported: UnixMicros,
-    /// On the monotonic clock.
+    /// The start on the monotonic clock.
     started_at: MonotonicTime,
 }
 
 impl Start {
-    /// The start of the same process, as another source reports it a little differently.
+    /// The start of the same process by the slightly different report of another source.
     fn adjusted_to(&self, reported: UnixMicros) -> MonotonicTime {
         let (reported, known) = (reported.as_micros(), self.reported.as_micros());
         let earlier = self.started_at.saturating_sub(Duration::from_micros(known.saturating_sub(reported)));
@@ -31,7 +31,7 @@
 pub(super) struct StoreStarts(BTreeMap<ServerId, Start>);
 
 impl StoreStarts {
-    /// The start of a store's process on the monotonic clock, if one that was reported before is the same.
+    /// The start of a store's process on the monotonic clock, if the same start was reported before.
     pub(super) fn find(&self, server: ServerId, reported: UnixMicros) -> Option<MonotonicTime> {
         let known = self.0.get(&server)?;
         let same_until = known.reported.as_micros().saturating_add(duration_micros(CLOCK_TOLERANCE));
@@ -47,17 +47,17 @@
         }
     }
 
-    /// Forgets a store.
+    /// Removes a store.
     pub(super) fn remove(&mut self, server: ServerId) {
         self.0.remove(&server);
     }
 
-    /// Forgets all stores but these.
+    /// Removes all stores except these.
     pub(super) fn retain(&mut self, servers: &BTreeSet<ServerId>) {
         self.0.retain(|server, _| servers.contains(server));
     }
 
-    /// How many starts are remembered.
+    /// The number of remembered starts.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.0.len()
--- a/gateway/src/clock/wire/tests.rs
+++ b/gateway/src/clock/wire/tests.rs
@@ -6,12 +6,12 @@
 const HOUR: Duration = Duration::from_secs(3600);
 const NOW: MonotonicTime = MonotonicTime::from_micros(500_000 * duration_micros(HOUR));
 
-/// A Unix time a span before `now` on a clock that is right.
+/// The Unix time `age` before `now`, on a correct clock.
 fn unix_before(now: MonotonicTime, age: Duration) -> UnixMicros {
     UnixMicros::from_micros((now - age).as_micros())
 }
 
-/// The times of a gateway whose own Unix clock is fast or slow by so much.
+/// The times of a gateway whose own Unix clock is fast by this much.
 fn fast_clock(by: Duration) -> WireTimes {
     let unix = UnixMicros::from_micros((NOW + by).as_micros());
     WireTimes { anchor: Anchor { monotonic: NOW, unix }, ..WireTimes::default() }
@@ -27,7 +27,7 @@
     ListedEndpoint { endpoint: Endpoint { host, name: format!("s-{server}"), dial: None }, started }
 }
 
-/// When the gateway takes a store to have started, by an event that arrives live.
+/// The start of a store that the gateway assumes after a live event.
 fn endpoint_start(
     times: &mut WireTimes,
     now: MonotonicTime,
@@ -71,13 +71,13 @@
     assert_eq!(
         purge_age(&mut times, NOW, unix_before(NOW, Duration::from_millis(50))),
         Duration::ZERO,
-        "nothing later was reported yet"
+        "no later time was reported yet"
     );
     let later = NOW + 10 * SECOND;
     assert_eq!(
         purge_age(&mut times, later, unix_before(later, Duration::from_millis(80))),
         Duration::from_millis(30),
-        "the first was 50 ms old at least"
+        "the first purge was at least 50 ms old"
     );
     assert_eq!(
         purge_age(&mut slow_clock(HOUR), NOW, unix_before(NOW, Duration::from_millis(50))),
@@ -85,7 +85,8 @@
     );
 }
 
-/// Wrong by an hour either way: a reported start makes the store warm up from then on, and once.
+/// Guards against a clock that is wrong by an hour: a reported start must begin the slow start of the store at that
+/// time, and only once.
 #[test]
 fn a_store_reported_as_started_warms_up_from_the_report_at_the_latest() {
     for mut times in [fast_clock(HOUR), slow_clock(HOUR)] {
@@ -94,7 +95,7 @@
         let start = unix_before(reported_at, 2 * SECOND);
         let started = endpoint_start(&mut times, reported_at, ListScope::Changes, listed(1, start));
         assert!((reported_at - 2 * SECOND..=reported_at).contains(&started), "{started:?}");
-        // Reported again, by the same or by another source that rounds.
+        // The same start reported again, by the same source or by another one that rounds.
         for again in [start, UnixMicros::from_micros(start.as_micros() + 999)] {
             let repeated =
                 endpoint_start(&mut times, reported_at + 30 * SECOND, ListScope::Changes, listed(1, again));
@@ -104,7 +105,8 @@
     }
 }
 
-/// The configuration holds changes of the list from long ago behind the list itself.
+/// Guards against a slow start long after the store's start: the configuration has old changes of the list after the
+/// list itself.
 #[test]
 fn a_start_known_from_the_configuration_does_not_count_as_live() {
     let mut times = fast_clock(Duration::ZERO);
@@ -149,11 +151,15 @@
 fn the_age_of_a_copy_is_never_underestimated() {
     let young = unix_before(NOW, Duration::from_millis(10));
     let old = fast_clock(HOUR).copy(NOW, young).expect("it has a time");
-    assert_eq!(old.issued_local, NOW - HOUR - Duration::from_millis(10), "a fast clock takes it for older");
+    assert_eq!(
+        old.issued_local,
+        NOW - HOUR - Duration::from_millis(10),
+        "by a fast clock the copy seems older"
+    );
     let mut times = slow_clock(HOUR);
-    assert_eq!(times.copy(NOW, young), None, "it is of the future as far as is known");
+    assert_eq!(times.copy(NOW, young), None, "its time seems to be in the future");
     purge_age(&mut times, NOW, unix_before(NOW, Duration::ZERO));
-    let copy = times.copy(NOW, unix_before(NOW, 10 * SECOND)).expect("its age is known now");
+    let copy = times.copy(NOW, unix_before(NOW, 10 * SECOND)).expect("its time is not in the future");
     assert_eq!(copy.issued_local, NOW - 10 * SECOND);
     assert_eq!(copy.issued, NOW + HOUR - 10 * SECOND, "compared with purges as it was reported");
     assert_eq!(times.copy(NOW, UnixMicros::default()), None);
--- a/gateway/src/membership/client_events.rs
+++ b/gateway/src/membership/client_events.rs
@@ -1,4 +1,4 @@
-//! The events of the session with the ensemble, and of the nodes that it watches.
+//! Handles the events of the session with the ensemble, and of the watched nodes.
 use super::instance::zone_of_node;
 use super::lease_events::lease_inputs;
 use super::watches::WatchKind;
@@ -9,12 +9,12 @@
 use larchway_zookeeper::client::{self, ClientEvent};
 use tracing::{error, info, warn};
 
-/// A node below a watched path, as it was read.
+/// A node below a watched path, with the data read.
 struct ReadNode {
     watch: usize,
     name: String,
     data: Vec<u8>,
-    /// The session that owns it; 0 without one.
+    /// The id of the session that owns it; 0 if it is not ephemeral.
     owner: i64,
 }
 
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Handles what concerns the session or the own node.
+    /// Handles events of the session and of the own node.
     fn session_changed(&mut self, now: MonotonicTime, event: ClientEvent, effects: &mut Vec<Effect>) {
         match event {
             ClientEvent::SessionEstablished { timeout, fresh, .. } => {
                 let kind = if fresh { "a session" } else { "the session" };
-                info!(timeout_ms = timeout.as_millis(), "{kind} with the ensemble is granted");
+                info!(timeout_ms = timeout.as_millis(), "{kind} with the ensemble is established");
                 self.set_connectivity(now, Connectivity::Connected, effects);
             }
             ClientEvent::Suspended(reason) => {
@@ -72,21 +72,21 @@
             }
             ClientEvent::Expired => warn!("the session with the ensemble has expired"),
             ClientEvent::StateRolledBack => {
-                error!("the ensemble was put back to an older state: what it tells now is doubted");
+                error!("the ensemble was rolled back to an older state: its data are not trusted for now");
                 self.handle_endpoint_input(now, Input::Rewound, effects);
             }
             ClientEvent::Registered(path) => info!(%path, "registered"),
             ClientEvent::StaleRegistration(path) => {
-                info!(%path, "a registration stands from an earlier life: waiting for its end");
+                info!(%path, "a registration of an earlier process still exists: waiting until it expires");
             }
             ClientEvent::Rejected(what, code) => {
-                error!(request = %what, ?code, "the ensemble refuses a request");
+                error!(request = %what, ?code, "the ensemble rejected a request");
             }
             ClientEvent::PathMissing { watch } => {
-                error!(path = %self.watches.path(watch), "a path is missing in the ensemble");
+                error!(path = %self.watches.path(watch), "a watched path does not exist in the ensemble");
             }
             ClientEvent::TooManyChildren { watch } => {
-                error!(path = %self.watches.path(watch), "a path has too many children: some are left out");
+                error!(path = %self.watches.path(watch), "a watched path has too many children: some are ignored");
             }
             ClientEvent::Closed
             | ClientEvent::Synced { .. }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Handles a node that has appeared below a watched path, or whose data have changed.
+    /// Handles a node below a watched path that has appeared, or whose data have changed.
     fn node_appeared(&mut self, now: MonotonicTime, node: ReadNode, effects: &mut Vec<Effect>) {
         match self.watches.kind(node.watch) {
             WatchKind::Stores => {
@@ -108,7 +108,8 @@
                 effects.push(Effect::HierarchyChange { node: path, data: node.data });
             }
             WatchKind::Gateways => {
-                // A gateway without a readable zone may be of this one: too large a count is the safe one.
+                // A gateway without a readable zone is counted in the own zone. A count that is too high is safe: it
+                // makes the share of each gateway smaller.
                 let zone = zone_of_node(&node.data).unwrap_or(self.own.zone);
                 let input = Input::GatewayAppeared { node: node.name, zone };
                 self.handle_endpoint_input(now, input, effects);
@@ -116,7 +117,7 @@
         }
     }
 
-    /// What the node of a store says.
+    /// The input that the node of a store makes for the endpoint set.
     fn store_input(&mut self, now: MonotonicTime, node: ReadNode) -> Input {
         match format::parse(&node.data, &self.known_names, &self.settings.node_defaults) {
             Ok(listed) => {
--- a/gateway/src/membership/effect.rs
+++ b/gateway/src/membership/effect.rs
@@ -1,4 +1,4 @@
-//! What membership asks the event loop to do.
+//! The effects that membership requests from the event loop.
 use crate::bulletin::Change;
 use crate::durable_file::DurableFile;
 use larchway_cluster::lease;
@@ -10,15 +10,15 @@
 pub enum Effect {
     /// Connect to this server of the ensemble.
     Connect(SocketAddr),
-    /// Write this to the connection.
+    /// Write these bytes to the connection.
     Write(Vec<u8>),
-    /// Close the connection for this reason; the session knows of it.
+    /// Close the connection for this reason; the session has handled it already.
     Close(String),
     /// Apply a change of the endpoint list.
     ApplyChange(Change),
-    /// The number of live gateways by zone.
+    /// Pass on the number of live gateways by zone.
     GatewaysByZone(BTreeMap<usize, u64>),
-    /// The hierarchy is changed by a node of the ensemble.
+    /// Apply a change of the hierarchy from a node of the ensemble.
     HierarchyChange {
         /// The path of the node.
         node: String,
--- a/gateway/src/membership/instance.rs
+++ b/gateway/src/membership/instance.rs
@@ -1,13 +1,13 @@
-//! This gateway as it registers in the ensemble.
+//! The registration of this gateway in the ensemble.
 use serde::Serialize;
 
-/// This gateway; its node has the serialized fields as JSON.
+/// This gateway; the data of its node are the serialized fields as JSON.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct OwnInstance {
-    /// Its name, which is that of its node.
+    /// The name of the gateway and of its node.
     #[serde(skip)]
     pub name: String,
-    /// The address at which it listens.
+    /// The address on which it listens for clients.
     pub listen: String,
     /// Its zone, as an index into the zones of the settings.
     pub zone: usize,
@@ -16,7 +16,7 @@
     pub changes_path: Option<String>,
 }
 
-/// The zone that the node of a gateway states, if it can be read.
+/// The zone that the data of a gateway's node state, if they can be parsed.
 pub(super) fn zone_of_node(data: &[u8]) -> Option<usize> {
     let node: serde_json::Value = serde_json::from_slice(data).ok()?;
     node["zone"].as_u64().map(|zone| zone as usize)
--- a/gateway/src/membership/lease_events.rs
+++ b/gateway/src/membership/lease_events.rs
@@ -1,13 +1,13 @@
-//! What events of the ensemble mean for the quota lease, which depends on the nodes of the gateways.
+//! Translates events of the ensemble into inputs of the quota lease, which depends on the nodes of the gateways.
 use super::instance::zone_of_node;
 use super::watches::{WatchKind, Watches};
 use larchway_cluster::lease::Input;
 use larchway_zookeeper::client::ClientEvent;
 
-/// The zone of a gateway whose node states none.
+/// The zone of a gateway whose node states no zone.
 const UNKNOWN_ZONE: usize = usize::MAX;
 
-/// The inputs of the lease that an event causes, in their order.
+/// The inputs of the lease that an event causes, in order.
 pub(super) fn lease_inputs(event: &ClientEvent, watches: &Watches, own_name: &str) -> Vec<Input> {
     let of_gateways = |watch: usize| watches.kind(watch) == WatchKind::Gateways;
     match event {
@@ -23,7 +23,7 @@
             vec![Input::NodeAppeared { name: name.clone(), zone }]
         }
         ClientEvent::ChildRemoved { watch, name } if of_gateways(*watch) && name == own_name => {
-            // Whoever deleted it: until it is created again, the others do not count this gateway.
+            // The own node was deleted: until it is created again, the other gateways do not count this one.
             vec![Input::SessionEnded, Input::NodeGone(name.clone())]
         }
         ClientEvent::ChildRemoved { watch, name } if of_gateways(*watch) => {
--- a/gateway/src/membership/mod.rs
+++ b/gateway/src/membership/mod.rs
@@ -1,6 +1,6 @@
-//! Membership of this gateway in its fleet, and the merge of all sources of endpoints. It joins the session with the
-//! ensemble (`larchway-zookeeper`) and the endpoint set (`larchway-endpoints`). It does no I/O but reading files; what
-//! the event loop has to do is returned as [`Effect`]s.
+//! Membership of this gateway in its fleet, and the merge of all sources of endpoints. It connects the session with
+//! the ensemble (`larchway-zookeeper`) to the endpoint set (`larchway-endpoints`). Reading files is the only I/O
+//! here; the event loop executes the returned [`Effect`]s.
 mod client_events;
 mod effect;
 mod error;
@@ -33,10 +33,10 @@
 use tracing::{error, info, warn};
 use watches::Watches;
 
-/// Least time between two saves of the roster: a flapping endpoint must not cause continual writes.
+/// Shortest time between two saves of the roster, so that a flapping endpoint does not cause continual writes.
 const SAVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The session with the ensemble, the merged sources, and the state between them.
+/// The session with the ensemble, the merged endpoint set, and the state that connects them.
 pub struct Membership {
     settings: EnsembleSettings,
     own: OwnInstance,
@@ -46,20 +46,20 @@
     endpoints: EndpointSet,
     /// Whether the session has a connection.
     connected: bool,
-    /// The server of the ensemble that was connected to last.
+    /// The server of the ensemble to which a connection was last attempted.
     server: Option<SocketAddr>,
-    /// The times that nodes state.
+    /// Converts the times that nodes state to the monotonic clock.
     wire_times: WireTimes,
-    /// Whether all nodes of stores have been read once.
+    /// Whether all nodes of stores have been read at least once.
     stores_read: bool,
     /// The file of the roster, if a folder is configured.
     roster_file: Option<DurableFile>,
-    /// When the roster is to be saved, if it has changed since the last save.
+    /// When the roster must be saved, if it has changed since the last save.
     save_due: Option<MonotonicTime>,
 }
 
 impl Membership {
-    /// Begins, from the saved roster if there is one.
+    /// Creates the membership, and restores the saved roster if there is one.
     pub fn new(
         now: MonotonicTime,
         settings: EnsembleSettings,
@@ -88,12 +88,14 @@
         (membership, effects)
     }
 
-    /// Whether the endpoint list is merged from several sources here.
+    /// Whether the endpoint list is merged from several sources: the list of the event source and the nodes of the
+    /// ensemble.
     pub fn merges_sources(&self) -> bool {
         self.settings.stores_path.is_some()
     }
 
-    /// How far the own clock may be fast, at most, by the times that nodes state; none if none has stated one.
+    /// The most that the own Unix clock can be fast, by the times that nodes state; none before a node has stated
+    /// one.
     pub fn max_clock_fast(&self) -> Option<Duration> {
         self.wire_times.max_fast()
     }
@@ -103,8 +105,8 @@
         self.settings.admin_socket.as_deref()
     }
 
-    /// Puts another configuration in force. What is known of endpoints stays; a session that must be another one is
-    /// closed, and its node is deleted with it.
+    /// Puts another configuration in force. The state of endpoints stays. If the session must be replaced, the old
+    /// one is closed, and the node of this gateway is deleted with it.
     pub fn configure(
         &mut self,
         now: MonotonicTime,
@@ -145,19 +147,19 @@
     ) {
         effects.push(Effect::Lease(lease::Input::SessionEnded));
         self.handle_client_input(now, client::Input::Close, effects);
-        effects.push(Effect::Close("it is set up anew".into()));
+        effects.push(Effect::Close("the configuration replaces the session".into()));
         self.set_connectivity(now, Connectivity::Disconnected, effects);
         self.handle_endpoint_input(now, Input::RereadStarted, effects);
         self.client = Client::new(config, seed);
     }
 
-    /// When [`Membership::tick`] is to be called next.
+    /// When [`Membership::tick`] must be called next, if ever.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         let due = [self.client.next_due(), self.endpoints.next_due()].into_iter().flatten().min();
         due.into_iter().chain(self.save_due).min()
     }
 
-    /// Does what is due.
+    /// Runs the timers that have expired.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.client.next_due().is_some_and(|due| due <= now) {
@@ -182,12 +184,12 @@
         self.client_effects(now, client::Input::Bytes(bytes))
     }
 
-    /// Handles that the connection is lost, or could not be established, for this reason.
+    /// Handles that the connection is lost or could not be established.
     pub fn handle_connection_lost(&mut self, now: MonotonicTime, reason: &str) -> Vec<Effect> {
         self.client_effects(now, client::Input::ConnectionLost(reason))
     }
 
-    /// Closes the session at shutdown: its node is deleted, so that the users of the fleet turn to other gateways.
+    /// Closes the session at shutdown. Its node is deleted, so that clients use other gateways.
     pub fn close(&mut self, now: MonotonicTime) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.save_due.is_some() {
@@ -199,7 +201,7 @@
         effects
     }
 
-    /// Handles entries of the endpoint list from the source of events.
+    /// Handles entries of the endpoint list from the event source.
     pub fn update_list(
         &mut self,
         now: MonotonicTime,
@@ -209,7 +211,7 @@
         self.endpoint_effects(now, Input::List { scope, endpoints })
     }
 
-    /// Handles a heartbeat of the source of events, or the loss of its connection.
+    /// Handles a heartbeat of the event source, or the loss of its connection.
     pub fn update_list_source(&mut self, now: MonotonicTime, connectivity: Connectivity) -> Vec<Effect> {
         let input = match connectivity {
             Connectivity::Connected => Input::Heartbeat(Source::List),
@@ -218,7 +220,7 @@
         self.endpoint_effects(now, input)
     }
 
-    /// Handles what attempts of this gateway have shown of endpoints.
+    /// Handles the evidence of endpoints' health from attempts of this gateway.
     pub fn handle_evidence(&mut self, now: MonotonicTime, evidence: Vec<EndpointEvidence>) -> Vec<Effect> {
         let mut effects = Vec::new();
         for evidence in evidence {
@@ -266,7 +268,7 @@
     }
 }
 
-/// The names that nodes of stores may use for zones and machine kinds.
+/// The names of zones and machine kinds that nodes of stores may use.
 fn known_names(wire_settings: &WireSettings) -> KnownNames {
     KnownNames { zones: wire_settings.zones.clone(), kinds: wire_settings.machine_kinds.clone() }
 }
@@ -287,7 +289,8 @@
     }
 }
 
-/// Whether two configurations of the client differ in more than the data of the own node.
+/// Whether a change of the client's configuration requires a new session; a change of the own node's data alone does
+/// not.
 fn needs_new_session(old: &ClientConfig, new: &ClientConfig) -> bool {
     let without_data = |config: &ClientConfig| {
         let registration = config.registration.clone();
--- a/gateway/src/membership/report.rs
+++ b/gateway/src/membership/report.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Changes of the roster in a report, at most.
+/// Most changes of the roster in a report.
 const MAX_REPORTED_CHANGES: usize = 20;
 
 #[derive(Serialize)]
@@ -46,11 +46,11 @@
     }
 }
 
-/// How a roster differs from the one before.
+/// The difference between a roster and the previous one.
 #[derive(Serialize)]
 struct RosterChange {
     ago_ms: u64,
-    /// The changed endpoints, described.
+    /// Descriptions of the changed endpoints.
     #[serde(rename = "boxes")]
     endpoints: Vec<String>,
 }
--- a/gateway/src/membership/roster_file.rs
+++ b/gateway/src/membership/roster_file.rs
@@ -1,4 +1,4 @@
-//! The last roster, in a file from which the next process begins.
+//! The file that saves the last roster for the next process.
 use super::{Effect, EnsembleSettings, Membership, OwnInstance};
 use crate::clock;
 use crate::durable_file::{self, DurableFile};
@@ -6,7 +6,7 @@
 use larchway_endpoints::snapshot::{Snapshot, MAX_SNAPSHOT_BYTES};
 use tracing::info;
 
-/// The file of a gateway's roster, if a folder is configured.
+/// The file of this gateway's roster, if a folder is configured.
 pub(super) fn roster_file(settings: &EnsembleSettings, own: &OwnInstance) -> Option<DurableFile> {
     let folder = settings.state_folder.as_ref()?;
     let name = durable_file::file_name(&own.name);
@@ -27,15 +27,15 @@
         Some(snapshot)
     }
 
-    /// Puts another file in force. One at the same path stays: it knows whether a version that was refused still stands
-    /// there.
+    /// Replaces the file. The instance for the same path is retained, since it records whether a rejected version is
+    /// still there.
     pub(super) fn set_roster_file(&mut self, now: MonotonicTime, roster_file: Option<DurableFile>) {
         if roster_file == self.roster_file {
             return;
         }
         self.roster_file = roster_file;
-        // What is in service would else be saved with its next change only. One that knows nothing yet leaves what
-        // another process has saved.
+        // Otherwise the roster would only be saved with its next change. Without any endpoint yet, the roster that
+        // another process has saved is left in place.
         if self.roster_file.is_some() && self.endpoints.endpoint_count() > 0 {
             self.save_due = Some(now);
         }
--- a/gateway/src/membership/settings.rs
+++ b/gateway/src/membership/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the ensemble: where instances register, and where the lists of stores and gateways come from.
+//! The settings of the ensemble: where instances register, and which paths list the stores and gateways.
 use super::error::{EnsembleFileError, SESSION_MS, SYNC_MS};
 use crate::operator_file::{self, read_text, schema, FileError};
 use larchway_endpoints::{format::Defaults, Policy};
@@ -9,46 +9,46 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The scheme of the credentials.
+/// The authentication scheme of the credentials.
 const DIGEST_SCHEME: &str = "digest";
 
-/// The fleet's file under `deploy/`, as it is written. Its schema is printed by `larchway schema ensemble`.
+/// The ensemble's file under `deploy/`. Its schema is printed by `larchway schema ensemble`.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct EnsembleFile {
-    /// Addresses of its servers, with their ports.
+    /// Addresses of the ensemble's servers, with their ports.
     pub servers: Vec<SocketAddr>,
     /// The path under which instances register.
     pub path: String,
-    /// The session's time-out to ask for, in ms, 500 at least.
+    /// The session time-out to request in ms, at least 500.
     #[serde(default = "default_session_ms")]
     pub session_ms: u64,
-    /// The path whose children are the stores, if the list is taken from there too.
+    /// The path whose child nodes are the stores; if absent, stores are not read from the ensemble.
     pub stores: Option<String>,
-    /// How often, in ms, the server is made to catch up with the ensemble while stores are read; 0: never. Under 800,
-    /// so that a departure is told within 1 s by a server that lies behind.
+    /// Interval in ms at which the server is made to catch up with the ensemble while stores are read; 0 means never.
+    /// At most 800, so that a departed store is reported within 1 s also by a server that lags behind.
     #[serde(default = "default_sync_ms")]
     pub sync_ms: u64,
-    /// Credentials of the digest scheme, `user:password`; they keep the own node for its owner.
+    /// Credentials of the digest scheme, `user:password`; they protect the own node against changes by others.
     pub digest: Option<String>,
-    /// The environment's variable that holds them.
+    /// The environment variable that holds these credentials, instead of `digest`.
     pub digest_env: Option<String>,
-    /// The form of the stores' nodes, and what they leave open.
+    /// The format of the stores' nodes, and the defaults of what they omit.
     #[serde(default)]
     pub nodes: Defaults,
-    /// How the list, the nodes and own attempts are joined.
+    /// How the endpoint list, the nodes and the results of own attempts are merged.
     #[serde(default)]
     pub policy: Policy,
-    /// Whether the live gateways of each zone are counted from the fleet's own nodes, to share the budgets of cold
-    /// boxes.
+    /// Whether the live gateways of each zone are counted from their nodes, to divide the budgets of stores in slow
+    /// start.
     #[serde(default)]
     pub gateways: bool,
-    /// The folder in which the last roster is kept; without it, none is.
+    /// The folder in which the last roster is saved; if absent, it is not saved.
     pub state: Option<PathBuf>,
-    /// Age in s from which a kept roster is not used.
+    /// Age in s from which on a saved roster is not used.
     #[serde(default = "default_state_age_s")]
     pub state_age_s: u64,
-    /// The Unix socket at which an operator may ask; without it, there is none.
+    /// The Unix socket at which operators can query this instance; if absent, there is none.
     pub admin: Option<PathBuf>,
 }
 
@@ -64,32 +64,32 @@
     600
 }
 
-/// The settings of the ensemble, checked.
+/// The validated settings of the ensemble.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EnsembleSettings {
-    /// Its servers.
+    /// The servers of the ensemble.
     pub servers: Vec<SocketAddr>,
     /// The path under which instances register.
     pub registration_path: String,
     /// The session time-out to request.
     pub session_timeout: Duration,
-    /// The path whose children are the stores, if the list is taken from there too.
+    /// The path whose child nodes are the stores, if stores are read from the ensemble.
     pub stores_path: Option<String>,
-    /// How often the server is made to catch up; zero: never.
+    /// Interval at which the server is made to catch up with the ensemble; zero means never.
     pub sync_interval: Duration,
-    /// Credentials shown to its servers.
+    /// Credentials with which the session authenticates.
     pub credentials: Vec<Credential>,
     /// The form of the stores' nodes, and the defaults of what they omit.
     pub node_defaults: Defaults,
     /// How the sources are merged.
     pub policy: Policy,
-    /// Whether the live gateways are counted.
+    /// Whether the live gateways of each zone are counted.
     pub counts_gateways: bool,
     /// The folder that holds the saved roster.
     pub state_folder: Option<PathBuf>,
-    /// Age from which a saved roster is not used.
+    /// Age from which on a saved roster is not used.
     pub max_state_age: Duration,
-    /// The Unix socket at which operators query the instance.
+    /// The Unix socket at which operators query this instance, if there is one.
     pub admin_socket: Option<PathBuf>,
 }
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// A path of the ensemble below its root.
+/// Checks that a path is absolute, below the root and without empty components.
 fn checked_path(key: &'static str, path: String) -> Result<String, EnsembleFileError> {
     if !path.starts_with('/') || path.ends_with('/') || path.contains("//") {
         return Err(EnsembleFileError::InvalidPath { key, path });
@@ -155,7 +155,7 @@
     Ok(path)
 }
 
-/// The credentials, from the file or from the variable that it names.
+/// Returns the credentials from the file, or from the environment variable that it names.
 fn checked_digest(
     digest: Option<String>,
     variable: Option<String>,
--- a/gateway/src/membership/watches.rs
+++ b/gateway/src/membership/watches.rs
@@ -1,7 +1,7 @@
 //! The watched paths of the ensemble, by the kind of their children.
 use super::{EnsembleSettings, OwnInstance};
 
-/// What the children of a watched path are.
+/// The kind of the child nodes of a watched path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchKind {
     /// Stores.
@@ -12,7 +12,7 @@
     HierarchyChanges,
 }
 
-/// The watched paths, by their indices in the configuration of the client.
+/// The watched paths; their indices are those in the configuration of the client.
 #[derive(Debug)]
 pub(super) struct Watches {
     paths: Vec<WatchedPath>,
@@ -25,7 +25,7 @@
 }
 
 impl Watches {
-    /// The paths that a configuration watches.
+    /// Collects the paths that a configuration watches.
     pub(super) fn new(settings: &EnsembleSettings, own: &OwnInstance) -> Self {
         let gateways_path = settings.counts_gateways.then_some(&settings.registration_path);
         let paths = [
@@ -44,7 +44,7 @@
         self.paths.iter().map(|watched| watched.path.clone()).collect()
     }
 
-    /// What the children of a path are.
+    /// The kind of the child nodes of the path with an index.
     pub(super) fn kind(&self, watch: usize) -> WatchKind {
         self.paths.get(watch).map_or(WatchKind::Gateways, |watched| watched.kind)
     }
--- a/gateway/src/pools.rs
+++ b/gateway/src/pools.rs
@@ -1,4 +1,4 @@
-//! The listed stores with the connections to each, and their number by zone, which is maintained as the list changes so
+//! The listed stores with the connections to each. The number of stores by zone is maintained as the list changes, so
 //! that an attempt need not count them.
 use crate::slots::Key;
 use larchway::{ServerId, State};
@@ -12,11 +12,11 @@
     pub(crate) connections: Vec<Key>,
 }
 
-/// The pools of all stores. One whose store is removed stays until its last connection is closed.
+/// The pools of all stores. The pool of a removed store stays until its last connection is closed.
 #[derive(Default)]
 pub(crate) struct Pools {
     by_store: BTreeMap<ServerId, Pool>,
-    /// By zone, the stores that are not removed.
+    /// The number of stores by zone that are not removed.
     listed_by_zone: BTreeMap<usize, usize>,
 }
 
@@ -39,8 +39,8 @@
         self.by_store.get_mut(&store).map(|pool| &mut pool.connections)
     }
 
-    /// Applies an entry of a list. Returns whether its address or start is another one, so that another process serves
-    /// there and old connections are of no use.
+    /// Applies an entry of the endpoint list. Returns whether the address or the start has changed: then another
+    /// process serves there, and the old connections are useless.
     pub(crate) fn apply_entry(&mut self, store: &Endpoint) -> bool {
         let id = store.host.server;
         let previous = self.by_store.get(&id).map(|pool| pool.store.clone());
@@ -53,7 +53,7 @@
         is_other_process
     }
 
-    /// Marks the stores that a complete list does not name as removed, and returns their ids.
+    /// Marks the stores that are not in a complete list as removed, and returns their ids.
     pub(crate) fn remove_unlisted(&mut self, listed_ids: &BTreeSet<ServerId>) -> Vec<ServerId> {
         let is_unlisted = |id: &ServerId, pool: &Pool| !listed_ids.contains(id) && is_listed(&pool.store);
         let removed: Vec<ServerId> =
@@ -67,13 +67,13 @@
         removed
     }
 
-    /// Forgets a store.
+    /// Removes the pool of a store.
     pub(crate) fn remove(&mut self, id: ServerId) {
         let pool = self.by_store.remove(&id);
         self.count(pool.map(|pool| pool.store).as_ref(), None);
     }
 
-    /// Counts a store as it is listed now in place of how it was.
+    /// Updates the number of stores by zone for one store, by its previous and its current entry.
     fn count(&mut self, previous: Option<&Endpoint>, current: Option<&Endpoint>) {
         if let Some(store) = previous.filter(|store| is_listed(store)) {
             self.listed_by_zone.entry(store.host.zone).and_modify(|count| *count -= 1);
--- a/gateway/src/pools/tests.rs
+++ b/gateway/src/pools/tests.rs
@@ -1,14 +1,15 @@
 use super::*;
 use larchway::{mix, Host};
 
-/// A store of one of four zones in one of its states, as a number says.
+/// A store whose id, zone (one of four) and state are derived from a number.
 fn random_store(number: u64) -> Endpoint {
     let state = [State::Up, State::Up, State::Draining, State::Removed][(mix(number) % 4) as usize];
     let host = Host { server: number % 30, zone: (mix(number ^ 1) % 4) as usize, state, ..Host::default() };
     Endpoint { host, name: String::new(), dial: None }
 }
 
-/// A count that drifts gives each store too few connections, or too many for the descriptors.
+/// Guards against a drifting count, which gives each store too few connections, or more than the process has
+/// descriptors for.
 #[test]
 fn the_count_by_zone_matches_a_scan_of_all_stores() {
     let mut pools = Pools::default();
--- a/gateway/src/random_numbers.rs
+++ b/gateway/src/random_numbers.rs
@@ -1,7 +1,7 @@
-//! Numbers that are not known beforehand, of which no two are the same: ids of calls and sessions.
+//! Unpredictable numbers without repetition, for the ids of calls and sessions.
 use larchway::{mix, MonotonicTime};
 
-/// A source of such numbers.
+/// A source of unpredictable numbers.
 #[derive(Debug)]
 pub struct RandomNumbers {
     seed: u64,
@@ -9,12 +9,12 @@
 }
 
 impl RandomNumbers {
-    /// By the seed of a configuration.
+    /// Creates a source with the seed of a configuration.
     pub fn new(seed: u64) -> Self {
         RandomNumbers { seed, draws: 0 }
     }
 
-    /// The next number. The time goes into it: the seed is the same after a restart.
+    /// The next number. It depends on the time too, since the seed is the same after a restart.
     pub fn next(&mut self, now: MonotonicTime) -> u64 {
         self.draws += 1;
         mix(self.seed ^ mix(self.draws ^ now.as_micros() << 20))
--- a/gateway/src/state_saver.rs
+++ b/gateway/src/state_saver.rs
@@ -1,4 +1,5 @@
-//! The files that the event loop saves, and the operators' calls whose answer waits until their effect is durable.
+//! Saves the files of the event loop in the background, and defers the replies to operators' calls until the effect
+//! of a call is durable.
 use crate::console::{CallNumber, Reply};
 use crate::durable_file::writer::{DurableWriter, Progress};
 use crate::durable_file::{DurableFile, SystemStorage};
@@ -8,41 +9,41 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// The time after which an operator is answered although the effect of the call is not durable: half of the second in
-/// which an answer is due.
+/// Time after which an operator gets a reply although the effect of the call is not durable: half of the second
+/// within which a reply is due.
 const MAX_REPLY_DELAY: Duration = Duration::from_millis(500);
-/// How long the end of the process waits for files that are not durable.
+/// How long the process waits at its end for files that are not durable yet.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A manual ejection or restoration that holds in this process and is being saved.
+/// A manual ejection or restoration that is in force in this process and is being saved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EjectionCall {
     /// The id of the store.
     pub store: String,
-    /// What was done with it.
+    /// Whether the store was ejected or restored.
     pub action: EjectionAction,
 }
 
-/// An answer that waits until a file is durable.
+/// A reply that is deferred until a file is durable.
 struct DeferredReply {
     call: CallNumber,
     ejection: EjectionCall,
     file: DurableFile,
-    /// When it is given in any case.
+    /// When it is sent in any case.
     deadline: MonotonicTime,
 }
 
-/// An answer that can be given now.
+/// A reply that can be sent now.
 #[derive(Debug)]
 pub struct ReadyReply {
-    /// The call.
+    /// The call that is replied to.
     pub call: CallNumber,
-    /// Its answer.
+    /// The reply.
     pub reply: Reply,
 }
 
 impl DeferredReply {
-    /// The answer, if the file is durable or the deadline has come.
+    /// The reply, if the file is durable or the deadline has passed.
     fn ready(&self, now: MonotonicTime, writer: &DurableWriter) -> Option<ReadyReply> {
         let unsaved_reason = match writer.progress(&self.file) {
             Progress::Durable => None,
@@ -59,14 +60,14 @@
 /// The files that the event loop saves.
 pub struct StateSaver {
     writer: DurableWriter,
-    /// Readable whenever a save has succeeded or failed.
+    /// Becomes readable when a save has succeeded or failed.
     finished: UnixStream,
-    /// As many as there are operators' connections at most.
+    /// At most one for each operator connection.
     deferred: Vec<DeferredReply>,
 }
 
 impl StateSaver {
-    /// Starts the worker that writes.
+    /// Starts the thread that writes the files.
     pub fn start() -> io::Result<Self> {
         let (finished, notify) = UnixStream::pair()?;
         finished.set_nonblocking(true)?;
@@ -74,7 +75,7 @@
         Ok(StateSaver { writer, finished, deferred: Vec::new() })
     }
 
-    /// The stream to be polled for reading; to be drained before [`StateSaver::ready_replies`].
+    /// The stream to be polled for reading; drain it before [`StateSaver::ready_replies`].
     pub fn finished(&self) -> &UnixStream {
         &self.finished
     }
@@ -89,12 +90,12 @@
         self.writer.progress(file) == Progress::Durable
     }
 
-    /// The number of files whose newest content is not.
+    /// The number of files whose newest content is not on stable storage.
     pub fn unsaved(&self) -> usize {
         self.writer.unsaved()
     }
 
-    /// Defers the answer to a call until a file is durable, for half a second at most.
+    /// Defers the reply to a call until a file is durable, for at most half a second.
     pub fn defer_reply(
         &mut self,
         now: MonotonicTime,
@@ -105,12 +106,12 @@
         self.deferred.push(DeferredReply { call, ejection, file, deadline: now + MAX_REPLY_DELAY });
     }
 
-    /// When an answer is due although its file is not durable.
+    /// When the next deferred reply must be sent although its file is not durable.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         self.deferred.iter().map(|reply| reply.deadline).min()
     }
 
-    /// Removes the answers whose file is durable or whose time is up.
+    /// Removes and returns the replies whose file is durable or whose deadline has passed.
     pub fn ready_replies(&mut self, now: MonotonicTime) -> Vec<ReadyReply> {
         let mut ready = Vec::new();
         let writer = &self.writer;
@@ -124,7 +125,8 @@
         ready
     }
 
-    /// Waits a moment for what is not durable, at the end of the process. Returns the number of files that are not.
+    /// Waits for the files that are not durable, up to 300 ms, at the end of the process. Returns the number of files
+    /// that are still not durable.
     pub fn finish(&self) -> usize {
         self.writer.finish(FINISH_TIMEOUT)
     }
--- a/gateway/src/store_overrides.rs
+++ b/gateway/src/store_overrides.rs
@@ -1,30 +1,30 @@
-//! Documents about stores laid over the endpoint list. A document changes attributes of a listed store; it neither
-//! lists nor removes one, and says nothing of its state.
+//! Overrides of store attributes by documents. A document changes attributes of a listed store; it cannot list or
+//! remove a store, nor change its state.
 use crate::bulletin::StoreAttributes;
 use larchway::{ServerId, State};
 use larchway_endpoints::endpoint::endpoint_id;
 use larchway_endpoints::{Endpoint, ListScope};
 use std::collections::BTreeMap;
 
-/// A store that a document is about.
+/// A document about a store.
 #[derive(Debug, Clone)]
 struct Override {
-    /// Ids of two names may be equal.
+    /// The store's name, needed since the ids of two names may be equal.
     name: String,
     attributes: StoreAttributes,
-    /// Its entry in the endpoint list, without the document; none if it is not listed.
+    /// The store's entry in the endpoint list, without the override; none if it is not listed.
     listed: Option<Endpoint>,
 }
 
 /// The documents about stores that are in force.
 #[derive(Debug, Clone, Default)]
 pub struct StoreOverrides {
-    /// At most as many as there are documents.
+    /// One for each document at most.
     by_server: BTreeMap<ServerId, Override>,
 }
 
 impl StoreOverrides {
-    /// Takes in the endpoint list or a change of it, and lays the documents over its entries.
+    /// Records the entries of the endpoint list or of a change of it, and applies the documents to them.
     pub fn apply(&mut self, scope: ListScope, entries: &mut [Endpoint]) {
         if self.by_server.is_empty() {
             return;
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Puts other documents in the place of these. `current`: the entry of a store as the list has it now, documents
-    /// included. Returns the entries that are changed by it.
+    /// Replaces the documents. `current` returns the entry of a store that is in force now, with its document
+    /// applied. Returns the entries that change.
     pub fn replace<'a>(
         &mut self,
         documents: &BTreeMap<String, StoreAttributes>,
--- a/gateway/src/store_overrides/tests.rs
+++ b/gateway/src/store_overrides/tests.rs
@@ -22,7 +22,7 @@
     entries.iter().map(|(name, value)| (name.to_string(), weight_attribute(*value))).collect()
 }
 
-/// A list with overrides between it and what is applied, as the gateway joins them.
+/// The stores in force, by the endpoint list and the overrides, as the gateway combines them.
 #[derive(Default)]
 struct Applied {
     overrides: StoreOverrides,
@@ -63,15 +63,15 @@
 fn a_document_overrides_the_list_until_it_is_withdrawn() {
     let mut applied = Applied::default();
     applied.list(ListScope::Complete, vec![endpoint("a-1", 4.0, State::Up), endpoint("a-2", 4.0, State::Up)]);
-    assert_eq!(applied.documents(&[("a-1", 7.0)]), 1, "only the one that it is about");
+    assert_eq!(applied.documents(&[("a-1", 7.0)]), 1, "only the store of the document changes");
     assert_eq!((applied.weight("a-1"), applied.weight("a-2")), (Some(7.0), Some(4.0)));
     applied.list(ListScope::Changes, vec![endpoint("a-1", 5.0, State::Draining)]);
-    assert_eq!(applied.weight("a-1"), Some(7.0), "a change of the list does not undo it");
+    assert_eq!(applied.weight("a-1"), Some(7.0), "a change of the list does not undo the override");
     let state = applied.stores[&endpoint_id("a-1")].host.state;
-    assert_eq!(state, State::Draining, "the state is the list's");
-    assert_eq!(applied.documents(&[("a-1", 7.0)]), 0, "nothing is new");
+    assert_eq!(state, State::Draining, "the state is that of the list");
+    assert_eq!(applied.documents(&[("a-1", 7.0)]), 0, "nothing changes");
     assert_eq!(applied.documents(&[]), 1);
-    assert_eq!(applied.weight("a-1"), Some(5.0), "the list's latest value holds again");
+    assert_eq!(applied.weight("a-1"), Some(5.0), "the latest value of the list applies again");
 }
 
 #[test]
@@ -83,7 +83,7 @@
     assert_eq!(applied.weight("a-1"), Some(7.0), "once it is listed");
     applied.list(ListScope::Changes, vec![endpoint("a-1", 4.0, State::Removed)]);
     assert_eq!(applied.weight("a-1"), None);
-    assert_eq!(applied.documents(&[]), 0, "what has left is not listed again");
+    assert_eq!(applied.documents(&[]), 0, "a removed store is not listed again");
     applied.documents(&[("a-1", 7.0)]);
     applied.list(ListScope::Complete, vec![endpoint("a-1", 4.0, State::Up)]);
     applied.list(ListScope::Complete, vec![endpoint("a-2", 4.0, State::Up)]);
