--- a/gateway/src/upgrade/discovery.rs
+++ b/gateway/src/upgrade/discovery.rs
@@ -3,7 +3,7 @@
 use super::{Peer, Upgrade, MAX_PROCESSES, READ_BYTES};
 use crate::clock;
 use crate::durable_file::{self, DurableFile};
-use crate::system_errors::{is_missing, through_shortages, Failure};
+use crate::system_errors::{is_not_found, retry_on_local_shortage, Failure};
 use larchway_operations::handover::{DecodedFrame, Frame, FrameError, MAX_FRAME_LENGTH};
 use larchway_operations::manual_ejection::EjectionRecord;
 use std::io::{self, Read, Write};
@@ -136,14 +136,14 @@
 /// Requests the state of another process; returns its connection, and the frames up to the state.
 fn request_state(path: &Path, name: &str) -> Result<(Peer, Vec<Frame>), RequestError> {
     let deadline = Instant::now() + REQUEST_TIMEOUT;
-    let mut stream = through_shortages(deadline, || UnixStream::connect(path))?;
+    let mut stream = retry_on_local_shortage(deadline, || UnixStream::connect(path))?;
     stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
     stream.set_write_timeout(Some(REQUEST_TIMEOUT))?;
     send_hello(&mut stream, name, deadline)?;
     let (mut input, mut buffer, mut frames) = (Vec::new(), vec![0; READ_BYTES], Vec::new());
     let is_state = |frame: &Frame| matches!(frame, Frame::State(_));
     while !frames.iter().any(is_state) && Instant::now() < deadline {
-        match through_shortages(deadline, || stream.read(&mut buffer))? {
+        match retry_on_local_shortage(deadline, || stream.read(&mut buffer))? {
             0 => return Err(RequestError::Ended),
             count => input.extend_from_slice(&buffer[..count]),
         }
@@ -157,7 +157,7 @@
     let hello = Frame::Hello { name: name.to_string() }.encode();
     let mut sent = 0;
     while sent < hello.len() {
-        sent += through_shortages(deadline, || stream.write(&hello[sent..]))?;
+        sent += retry_on_local_shortage(deadline, || stream.write(&hello[sent..]))?;
     }
     Ok(())
 }
@@ -181,10 +181,10 @@
     let deadline = Instant::now() + REQUEST_TIMEOUT;
     // No other process has this process id now, so what stands there was left behind.
     match std::fs::remove_file(own_path) {
-        Err(error) if !is_missing(&error) => return Err(error),
+        Err(error) if !is_not_found(&error) => return Err(error),
         _ => {}
     }
-    let listener = through_shortages(deadline, || UnixListener::bind(own_path))?;
+    let listener = retry_on_local_shortage(deadline, || UnixListener::bind(own_path))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
--- a/gateway/tests/poll_keys.rs
+++ b/gateway/tests/poll_keys.rs
@@ -1,6 +1,6 @@
 //! The numbers under which sources of events are registered with the poller.
 use larchway_gateway::net::poll_key::{ClientListener, PollKey};
-use larchway_gateway::slots::Key;
+use larchway_gateway::slots::SlotKey;
 use larchway_gateway::{admin, console, upgrade};
 use std::collections::BTreeSet;
 
@@ -37,7 +37,7 @@
 #[test]
 fn slots_of_connections_keep_their_numbers() {
     for slot in [0, 1, 7 << 32 | 3, u64::MAX >> 1] {
-        let key = PollKey::Connection(Key(slot));
+        let key = PollKey::Connection(SlotKey(slot));
         assert_eq!(usize::from(key) as u64, slot);
         assert_eq!(PollKey::from(slot as usize), key);
     }
@@ -47,6 +47,6 @@
 fn signals_and_operators_are_urgent_and_clients_are_not() {
     let urgent: Vec<PollKey> = every_reserved_key().into_iter().filter(|key| key.is_urgent()).collect();
     assert_eq!(urgent.len(), 3 + console::MAX_CALLERS);
-    assert!(!PollKey::Connection(Key(0)).is_urgent());
+    assert!(!PollKey::Connection(SlotKey(0)).is_urgent());
     assert!(!PollKey::ClientListener(ClientListener::Platform).is_urgent());
 }
