--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: capacity, the bound on buffered bytes, final answers and the orderly end.
+//! Client connections: connection capacity, the limit on buffered bytes, final replies and graceful closing.
 use super::Gateway;
 use crate::connection::{Buffer, Connection, ConnectionState, Role, LINGER};
 use crate::core::{FinalReply, ReplyHandle, NO_CAPACITY_RETRY_AFTER};
@@ -9,31 +9,31 @@
 use std::net::Shutdown as Side;
 use tracing::warn;
 
-/// Divisor of the memory limit that gives what the bytes of all clients' connections, read and not dealt with or
-/// written and not sent, may take before a client that has answers waiting is refused more.
+/// Divisor of the memory limit for the buffered bytes of all client connections (unprocessed input and unsent output)
+/// above which a client that has unsent replies gets no further request admitted.
 const UNREAD_CLIENT_MEMORY_DIVISOR: usize = 6;
-/// Divisor of the memory limit that gives what these bytes may take before every client is refused more.
+/// Divisor of the memory limit for these buffered bytes above which no client gets a further request admitted.
 const ADMIT_MEMORY_DIVISOR: usize = 4;
-/// Divisor of the memory limit that gives the most that these bytes may take: beyond it answers that have come are
-/// refused too, and whoever holds most of a message that is not complete is ended. Slow readers are no fault, and
-/// cutting one off loses what it was owed.
+/// Divisor of the memory limit for the hard limit on these buffered bytes: beyond it, replies from stores are dropped
+/// too, and the client with the most unprocessed input is closed. Slow readers are not closed: they are no fault, and
+/// closing one loses the replies that are still to be sent to it.
 pub(super) const CLIENT_MEMORY_DIVISOR: usize = 3;
-/// Divisor of the memory limit that gives what the bytes of open requests may take.
+/// Divisor of the memory limit for the bodies of all open requests.
 const REQUEST_MEMORY_DIVISOR: usize = 8;
-/// Requests that may be open at once.
+/// Maximum number of open requests.
 const MAX_OPEN_REQUESTS: usize = 4000;
-/// Bytes of answers that one client may always leave waiting. Where memory is nearly used up (seven eighths of what
-/// clients may hold), one that leaves more waiting is not read from: what is answered in a few bytes adds up too.
+/// Bytes of unsent replies that each client may always have. While the clients' buffers are over seven eighths of their
+/// limit, a client with more unsent bytes is not read from, since even small replies to many requests add up.
 pub(super) const SMALL_ANSWER_BYTES: usize = 16 * 1024;
 
-/// Whether so many bytes of a client take more memory than any client may.
+/// Whether this number of unprocessed input bytes is above the size that a client may always buffer.
 fn is_large_input(input: &usize) -> bool {
     *input > SMALL_ANSWER_BYTES
 }
 
 impl Gateway {
-    /// Whether there is room for one more client; to make it, the end of another is begun, or one that has been
-    /// half-closed is closed.
+    /// Returns whether one more client can be accepted. To make capacity, half-closes an idle client, or closes the
+    /// half-closed one whose time-out comes first.
     pub(super) fn ensure_client_capacity(&mut self, now: MonotonicTime) -> bool {
         if self.client_count - self.half_closed_count >= self.descriptor_limits.clients
             && !self.evict_idle_client(now)
@@ -56,8 +56,8 @@
         true
     }
 
-    /// Ends a client's connection to make room: the one that has been idle for longest, and before all others one that
-    /// never asked for anything.
+    /// Half-closes an idle client to make capacity: first one that has never sent a request, otherwise the one that has
+    /// been idle for longest. Returns whether there was one.
     fn evict_idle_client(&mut self, now: MonotonicTime) -> bool {
         let idle_clients = self.connections.iter().filter(|(_, c)| c.is_idle());
         let mut by_age: Vec<_> =
@@ -69,7 +69,7 @@
         oldest.map(|key| self.half_close(now, key)).is_some()
     }
 
-    /// Gives the final reply, by the front at which the request came in.
+    /// Sends the final reply to the client, in the protocol of the front that received the request.
     pub(super) fn reply(&mut self, now: MonotonicTime, reply_to: ReplyHandle, reply: &FinalReply<'_>) {
         let Some(conn) = self.connections.get_mut(reply_to.connection) else { return };
         match &mut conn.role {
@@ -82,7 +82,7 @@
         self.enforce_client_bytes(now);
     }
 
-    /// Counts what a client's connection holds.
+    /// Updates the count of buffered bytes of all clients with those of this connection.
     pub(super) fn update_client_bytes(&mut self, key: SlotKey) {
         if let Some(conn) = self.connections.get_mut(key).filter(|c| c.role.is_client()) {
             let buffered = conn.output.remaining().len() + conn.input.remaining().len();
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Bounds what all clients' connections hold. Danger: some hundred readers of 1 MB a second, or
-    /// senders of half a message, together take more than there is, each with little.
+    /// Enforces the limit on the buffered bytes of all client connections: several hundred clients that read only 1
+    /// MB/s, or that send half a message, exhaust the memory together although each buffers little.
     pub(super) fn enforce_client_bytes(&mut self, now: MonotonicTime) {
         // Replies that clients are slow to read take precedence over cached objects.
         let memory = self.memory_limit / self.processes.process_count();
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Makes room for an answer of so many bytes, and returns whether there is any. Danger: an answer that is owed
-    /// would be refused for messages of which half has come, and that nobody owes anything. The largest of these
-    /// give way, if together they are enough; small ones stay.
+    /// Makes capacity for a reply of `answer_bytes` and returns whether there is enough. Closes the clients with the
+    /// largest unprocessed input, if all large inputs together free enough: otherwise a reply that a client waits for
+    /// would be dropped in favour of incomplete messages. Clients with small inputs stay connected.
     pub(super) fn ensure_answer_capacity(&mut self, now: MonotonicTime, answer_bytes: usize) -> bool {
         if self.can_buffer(answer_bytes) {
             return true;
@@ -131,24 +131,24 @@
         self.finish_client(now, key);
     }
 
-    /// Clients' connections that can be cut off, with the bytes that were read of each and not dealt with.
+    /// The open client connections, each with the number of its unprocessed input bytes.
     fn client_inputs(&self) -> impl Iterator<Item = (SlotKey, usize)> + '_ {
         let open =
             self.connections.iter().filter(|(_, c)| c.role.is_client() && c.state == ConnectionState::Open);
         open.map(|(key, c)| (key, c.input.remaining().len()))
     }
 
-    /// The client's connection with the most bytes that were read and not dealt with.
+    /// The open client connection with the most unprocessed input bytes, if any has some.
     fn largest_input(&self) -> Option<(SlotKey, usize)> {
         self.client_inputs().filter(|(_, input)| *input > 0).max_by_key(|(_, input)| *input)
     }
 
-    /// Whether an answer of so many bytes can be buffered until its client reads it; a small one always can.
+    /// Whether a reply of `answer_bytes` can be buffered until its client reads it; a small one always can.
     pub(super) fn can_buffer(&self, answer_bytes: usize) -> bool {
         answer_bytes <= SMALL_ANSWER_BYTES || self.client_bytes + answer_bytes <= self.max_client_bytes
     }
 
-    /// Whether more can be taken in from a client; beyond that, memory would run out.
+    /// Whether memory and the number of open requests allow one more request of this client.
     pub(super) fn has_capacity(&self, key: SlotKey) -> bool {
         let has_unread_answers = self.connections.get(key).is_some_and(|c| !c.output.remaining().is_empty());
         let divisor = if has_unread_answers { UNREAD_CLIENT_MEMORY_DIVISOR } else { ADMIT_MEMORY_DIVISOR };
@@ -158,7 +158,8 @@
             && self.client_bytes < self.memory_limit / processes / divisor
     }
 
-    /// Half-closes clients' connections with nothing open, unsent or unread on them, so that clients turn elsewhere.
+    /// Half-closes client connections without open requests and without unsent or unread bytes, so that clients connect
+    /// to another gateway.
     pub(super) fn half_close_idle(&mut self, now: MonotonicTime) {
         let is_idle =
             |c: &Connection| c.is_idle() && c.input.remaining().is_empty() && c.has_nothing_to_read();
@@ -167,9 +168,9 @@
         idle_clients.into_iter().for_each(|key| self.half_close(now, key));
     }
 
-    /// Ends a client's connection in order. Danger: a request that crosses a plain close makes it a reset, and
-    /// answers that are still on their way are lost with it. So the write side is shut first, and what comes
-    /// meanwhile is read, and sent nowhere, until the client has closed too.
+    /// Closes a client connection gracefully: shuts the write side down, then reads and discards input until the client
+    /// has closed too. If the socket were closed at once, a request that arrives after it would trigger a reset, and
+    /// replies still in transit would be lost.
     pub(super) fn half_close(&mut self, now: MonotonicTime, key: SlotKey) {
         let Some(conn) =
             self.connections.get_mut(key).filter(|c| !matches!(c.state, ConnectionState::HalfClosed { .. }))
@@ -178,15 +179,15 @@
         };
         self.half_closed_count += 1;
         conn.state = ConnectionState::HalfClosed { until: now + LINGER };
-        // A connection that is broken is found out when it is read.
+        // If the connection is broken, the next read reports it.
         let _ = conn.stream.shutdown(Side::Write);
         self.core.deadlines.clear(conn.deadline, DeadlineKind::Connection(key));
         conn.deadline = now + LINGER;
         self.core.deadlines.set(conn.deadline, DeadlineKind::Connection(key));
     }
 
-    /// Ends a client's connection from which nothing more can be taken: what is open on it is answered at once, and its
-    /// write side is shut once that is written.
+    /// Ends a client connection from which no more input is accepted: gives up its open requests, whose replies are
+    /// sent at once, and half-closes it when those are written.
     pub(super) fn finish_client(&mut self, now: MonotonicTime, key: SlotKey) {
         let Some(conn) = self.connections.get_mut(key).filter(|c| c.state == ConnectionState::Open) else {
             return;
--- a/gateway/src/net/configuration.rs
+++ b/gateway/src/net/configuration.rs
@@ -1,4 +1,4 @@
-//! Putting a configuration in force, at the start and at each SIGHUP.
+//! Applies a configuration, at the start and at each SIGHUP.
 use super::clients::CLIENT_MEMORY_DIVISOR;
 use super::errors::ConfigurationError;
 use super::poll_key::{ClientListener, PollKey};
@@ -23,24 +23,24 @@
 use std::net::{SocketAddr, TcpListener};
 use tracing::{error, info, warn};
 
-/// Divisor of the memory limit that gives what answers on their way from stores may take.
+/// Divisor of the memory limit for replies that are being received from stores.
 const STORE_MEMORY_DIVISOR: usize = 3;
 
-/// A configuration that is to be put in force.
+/// A reload that is to be tried again.
 pub(super) struct PendingReload {
-    /// The files, once they were read.
+    /// The files; none if they could not be read yet.
     files: Option<FileSet>,
-    /// The signals that asked for it.
+    /// Number of SIGHUP signals that requested it, for the reload counters.
     signals: u64,
 }
 
-/// Files that were read, and what they say with the documents in force over them.
+/// Files that were read, and the configuration that results from them and the documents in force.
 struct ReadFiles {
     files: FileSet,
     loaded: Loaded,
 }
 
-/// The listeners of fronts whose addresses a configuration changes.
+/// New listeners of the fronts whose addresses a configuration changes; none for a front whose address stays.
 #[derive(Default)]
 pub(super) struct NewListeners {
     platform: Option<TcpListener>,
@@ -48,8 +48,8 @@
 }
 
 impl Gateway {
-    /// Takes in a configuration, the first or a later one: limits, names, the ensemble, and what is known of the
-    /// stores. Open requests, connections and all that was learned stay.
+    /// Applies the first or a later configuration: limits, names, the ensemble, and the known endpoints. Open requests,
+    /// connections and learned state are preserved.
     pub(super) fn apply_configuration(
         &mut self,
         now: MonotonicTime,
@@ -72,12 +72,13 @@
         if let Some(file) = hierarchy {
             self.configure_hierarchy(now, file, &config)?;
         }
-        // What is lent is not in the configuration, and stays.
+        // Leased quotas are not part of the configuration and are preserved.
         let shares = self.peers.as_ref().and_then(Peers::quotas);
         let settings = Settings { shares, ..config.settings };
         self.settings = self.core.configure(now, settings, config.classes);
         self.shape = config.shape;
-        // Danger: budgets of cold stores that are shared by fewer gateways than there are.
+        // Divide the slow start budgets by the actual number of gateways: with the configured number, which may be
+        // lower, the gateways together would exceed them.
         if !self.live_gateways.is_empty() || shares.is_some() {
             self.update_gateway_count();
         }
@@ -93,7 +94,7 @@
             self.console = None;
         }
         self.check_console(now);
-        // One that was signalled to stop has left the fleet, and stays away from it.
+        // A process that was signalled to stop has left the ensemble and must not register again.
         if let Some(ensemble) = ensemble.filter(|_| !self.shutdown.is_signalled()) {
             let bound_address = self.platform_listener.as_ref().and_then(|l| l.local_addr().ok());
             let listen = bound_address.unwrap_or(config.listen).to_string();
@@ -115,7 +116,7 @@
         Ok(())
     }
 
-    /// Begins or changes the hierarchy of caches.
+    /// Creates or reconfigures the hierarchy of caches.
     fn configure_hierarchy(
         &mut self,
         now: MonotonicTime,
@@ -140,11 +141,11 @@
         Ok(())
     }
 
-    /// Reads the complete configuration again and puts it in the place of the old one. One that cannot be used
-    /// is logged by its faulty key and changes nothing.
+    /// Reads the complete configuration again and replaces the one in force. A configuration that cannot be used
+    /// changes nothing; the log names the faulty key.
     pub(super) fn reload(&mut self, now: MonotonicTime) {
         let signals = drain(&self.reload_signal);
-        // The pipe could not be read: the poller reports it again.
+        // The pipe could not be read: the poller will report it again.
         if signals == 0 {
             return;
         }
@@ -152,12 +153,12 @@
         if read.as_ref().is_err_and(|error| !error.is_local_shortage()) {
             return self.finish_reload(signals, read.map(drop).map_err(ConfigurationError::from));
         }
-        // The newer one takes the place of one that waits.
+        // The newer reload replaces a postponed one and counts its signals.
         let waiting = self.postponed_reload.take().map_or(0, |waiting| waiting.work.signals);
         self.try_reload(now, now, read, signals + waiting);
     }
 
-    /// Tries the reload again that waits for what this machine was short of, if its time has come.
+    /// Retries the reload that was postponed because of a local shortage, if its time has come.
     pub(super) fn retry_reload(&mut self, now: MonotonicTime) {
         if let Some(waiting) = take_due(&mut self.postponed_reload, now) {
             let PendingReload { files, signals } = waiting.work;
@@ -174,14 +175,14 @@
         self.load_files(self.files.read_set()?)
     }
 
-    /// Checks files, alone and with the documents in force over them.
+    /// Loads and validates files, both alone and overlaid with the documents in force.
     fn load_files(&self, files: FileSet) -> Result<ReadFiles, ConfigError> {
         let loaded = files.load_anew(&self.events.overlay_in_force())?;
         Ok(ReadFiles { files, loaded })
     }
 
-    /// Carries out a reload that was tried first at `since` and that so many signals asked for, or postpones it while
-    /// this machine is short of something. `read`: what came of reading the files.
+    /// Carries out a reload, or postpones it on a local shortage. `since`: when it was first tried; `read`: the files,
+    /// or the error of reading them; `signals`: the number of SIGHUP signals that requested it.
     fn try_reload(
         &mut self,
         now: MonotonicTime,
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Checks that files, and what they say with the documents in force, can replace the configuration in force.
+    /// Checks that the loaded files can replace the configuration in force, and opens the new listeners.
     fn prepare_files(
         &mut self,
         files: &FileSet,
@@ -225,12 +226,12 @@
         self.prepare_reload(loaded)
     }
 
-    /// Remembers the files in force where documents are laid over them.
+    /// Stores the files in force if documents are to be overlaid on them.
     pub(super) fn remember_files(&mut self, files: FileSet) {
         self.files_in_force = files.takes_documents().then(|| files.without_known_events());
     }
 
-    /// Postpones a reload that was tried first at `since`, if it is worth another try; else it is rejected.
+    /// Postpones a failed reload, first tried at `since`, if it should be retried; otherwise rejects it.
     fn postpone_or_reject(
         &mut self,
         now: MonotonicTime,
@@ -247,7 +248,7 @@
         self.postponed_reload = Some(postponed);
     }
 
-    /// Logs and counts what came of a reload that so many signals asked for.
+    /// Logs and counts the outcome of a reload that this number of signals requested.
     fn finish_reload(&mut self, signals: u64, outcome: Result<(), ConfigurationError>) {
         let counted = if outcome.is_ok() { ReloadOutcome::Applied } else { ReloadOutcome::Rejected };
         self.core.counters.count_reload(signals, counted);
@@ -257,15 +258,15 @@
         }
     }
 
-    /// Checks that a configuration can replace the one in force, and opens the listeners that are new in it. What can
-    /// fail is done here, and changes nothing.
+    /// Checks that a configuration can replace the one in force, and opens its new listeners. An error leaves the
+    /// configuration in force unchanged.
     pub(super) fn prepare_reload(&mut self, loaded: &Loaded) -> Result<NewListeners, ConfigurationError> {
         let config = &loaded.config;
         config.shape.replaces(&self.shape)?;
         config.wire_settings.extends(&self.wire_settings)?;
         self.start_saver(saves_roster(loaded.ensemble.as_ref()))?;
         let mut listeners = NewListeners::default();
-        // One that listens no more does not begin again.
+        // A closing process must not open new listeners.
         if self.shutdown.is_closing() {
             return Ok(listeners);
         }
@@ -280,7 +281,7 @@
         Ok(listeners)
     }
 
-    /// Listens at a new address of a front.
+    /// Opens a listener at a new address of a front.
     fn open_listener(
         &self,
         kind: ClientListener,
@@ -291,7 +292,7 @@
         listen_and_poll(&self.poller, address, PollKey::ClientListener(kind).into(), shared)
     }
 
-    /// Puts a configuration in the place of the one in force.
+    /// Replaces the configuration in force.
     pub(super) fn replace_configuration(
         &mut self,
         now: MonotonicTime,
@@ -323,8 +324,8 @@
         self.apply_configuration(now, config, ensemble, hierarchy, events)
     }
 
-    /// Applies the operator file of the object cache; without one there is no cache. Cached objects stay. They
-    /// answer nothing until the purge feed is active.
+    /// Applies the operator file of the object cache; without one there is no cache. Cached objects are preserved, but
+    /// not served until the purge feed is active.
     pub(super) fn configure_object_cache(
         &mut self,
         config: &Config,
@@ -343,7 +344,7 @@
         }
     }
 
-    /// Shares the gateway's limits among its processes.
+    /// Divides the gateway's descriptor and memory limits by the number of its processes.
     pub(super) fn share_limits(&mut self) {
         let processes = self.processes.process_count();
         let (sockets, memory) = (self.descriptor_limit / processes, self.memory_limit / processes);
--- a/gateway/src/net/connections.rs
+++ b/gateway/src/net/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of every role: registration with the poller, reading, writing, timeouts and closing.
+//! Connections of every role: registration with the poller, reading, writing, time-outs and closing.
 use super::clients::SMALL_ANSWER_BYTES;
 use super::errors::CloseReason;
 use super::poll_key::PollKey;
@@ -18,18 +18,18 @@
 use std::net::{SocketAddr, TcpStream};
 use tracing::{error, warn};
 
-/// Bytes asked for by one read while little has come in.
+/// Size of one read while the input buffer holds at most this number of bytes.
 const FIRST_READ_BYTES: usize = 8 * 1024;
-/// Bytes asked for by one read in the midst of a large message.
+/// Size of one read while the input buffer holds more, as within a large message.
 pub(super) const LARGE_READ_BYTES: usize = 64 * 1024;
 
 impl Gateway {
-    /// Lets the next request on a connection have its turn.
+    /// Schedules a connection for parsing of the input that is already buffered.
     pub(super) fn resume(&mut self, key: SlotKey) {
         self.resumable.push(key);
     }
 
-    /// Counts a connection, gives it a slot and has it polled; `deadline`: when it is first looked at.
+    /// Counts a connection, stores it in a slot and registers it with the poller. `deadline`: its first time-out check.
     pub(super) fn register(
         &mut self,
         now: MonotonicTime,
@@ -72,8 +72,8 @@
         Some(key)
     }
 
-    /// Begins to connect; the connection comes up later or fails. An error is that of this machine or of the other
-    /// side.
+    /// Starts to connect and registers the connection; `due`: the connect time-out. The outcome is handled later; an
+    /// error means that connecting could not be started.
     pub(super) fn connect(
         &mut self,
         now: MonotonicTime,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Serves a connection that the poller found readable or writable.
+    /// Handles the readiness of a connection that the poller reported.
     pub(super) fn handle_connection_event(&mut self, now: MonotonicTime, key: SlotKey, event: &Event) {
         let Some(conn) = self.connections.get(key) else { return };
         if !conn.state.is_connected() && !self.finish_connecting(now, key, event.writable) {
@@ -112,7 +112,7 @@
         self.update_interest(key);
     }
 
-    /// Looks how far a connection that is being dialled has come. Returns whether it has not failed.
+    /// Checks the progress of a connect. Returns false if it failed and the connection was closed.
     fn finish_connecting(&mut self, now: MonotonicTime, key: SlotKey, writable: bool) -> bool {
         let Some(conn) = self.connections.get_mut(key) else { return false };
         match conn.stream.take_error() {
@@ -131,7 +131,7 @@
             }
             Ok(None) => true,
             Ok(Some(e)) | Err(e) => {
-                // One that is refused proves that nothing runs there; one that is reset had come up.
+                // A reset shows that the connection had been established; a refusal shows that nothing listens there.
                 if is_reset(&e) {
                     conn.state = ConnectionState::Open;
                 }
@@ -141,14 +141,14 @@
         }
     }
 
-    /// Reads what has come in on a connection, takes the messages off it that are complete, and ends the connection
-    /// where the other side has, or where a message is malformed.
+    /// Reads available bytes, handles the complete messages in them, and closes the connection if the peer has closed
+    /// it or a message is malformed.
     pub(super) fn read(&mut self, now: MonotonicTime, key: SlotKey) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         let is_client = conn.role.is_client();
         let mut input = std::mem::take(&mut conn.input);
         let end_reason = read_available(now, conn, &mut input, &mut self.read_buffer);
-        // What a client asked for that has left meanwhile is not begun; a store's last answers count.
+        // Requests of a client that has disconnected are not begun; the last replies of a store are still handled.
         let client_left = is_client && end_reason.is_some();
         let malformed = if client_left { None } else { self.parse_messages(now, key, &mut input).err() };
         input.compact();
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Leaves bytes that are not dealt with to the next read, and sees to it that a message that is cut short is
-    /// noticed.
+    /// Stores unprocessed input for the next read, and moves the deadline forward if needed, so that an incomplete
+    /// message times out.
     fn keep_input(&mut self, now: MonotonicTime, key: SlotKey, input: Buffer) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         let is_incomplete = !input.remaining().is_empty();
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Takes complete messages off the input, each by the codec of the connection.
+    /// Decodes and handles the complete messages of the input, with the codec of the connection's role.
     fn parse_messages(
         &mut self,
         now: MonotonicTime,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Writes what can be written. Returns whether the connection still stands.
+    /// Writes as much output as the socket accepts. Returns whether the connection is still open.
     pub(super) fn flush(&mut self, now: MonotonicTime, key: SlotKey) -> bool {
         let Some(conn) = self.connections.get_mut(key) else { return false };
         if conn.state.is_connected() && !conn.output.remaining().is_empty() {
@@ -260,7 +260,7 @@
                 }
                 self.send_waiting(now, key);
             }
-            // A request that waited for earlier answers to be read has its turn.
+            // A buffered request that waited for the client to read earlier replies can be handled now.
             Role::SignedClient(_) if all_written && !conn.input.remaining().is_empty() => {
                 self.resumable.push(key);
             }
@@ -270,7 +270,7 @@
         true
     }
 
-    /// Has a connection polled for what it waits for now.
+    /// Updates the events that a connection is polled for.
     pub(super) fn update_interest(&mut self, key: SlotKey) {
         let memory_is_scarce = self.client_bytes > self.max_client_bytes / 8 * 7;
         let Some(conn) = self.connections.get_mut(key) else { return };
@@ -284,13 +284,13 @@
         }
     }
 
-    /// Closes a connection and ends what it carried.
+    /// Closes a connection and ends its requests or attempts.
     pub(super) fn close(&mut self, now: MonotonicTime, key: SlotKey, reason: Option<&CloseReason>) {
         let Some(conn) = self.connections.remove(key) else { return };
         self.client_bytes -= conn.counted_bytes;
         self.half_closed_count -= usize::from(matches!(conn.state, ConnectionState::HalfClosed { .. }));
         self.core.deadlines.clear(conn.deadline, DeadlineKind::Connection(key));
-        // A connection that is closed is no longer polled; there is nothing to do about an error here.
+        // The socket is closed below, which also ends polling, so an error has no effect.
         let _ = self.poller.delete(&conn.stream);
         match conn.role {
             Role::PlatformClient(session) => {
@@ -315,7 +315,7 @@
                     self.membership.as_mut().map(|m| m.handle_connection_lost(now, &describe(reason)));
                 self.apply_membership_effects(now, effects.unwrap_or_default());
             }
-            // One that was left knows of it.
+            // Closed by the membership protocol itself, which needs no notification.
             Role::Ensemble => {}
             Role::Events if self.events_connection == Some(key) => {
                 warn!(reason = %describe(reason), "the bulletin is lost");
@@ -323,12 +323,13 @@
                 let effects = self.events.disconnected(now);
                 self.apply_event_effects(now, effects);
             }
-            // One that was left knows of it.
+            // Closed by the event subscription itself, which needs no notification.
             Role::Events => {}
         }
     }
 
-    /// Looks whether a connection came up, moves on, or has been idle for too long.
+    /// Closes a connection that was not established in time, stalls or has been idle for too long; otherwise sets its
+    /// next check.
     pub(super) fn check_timeout(&mut self, now: MonotonicTime, key: SlotKey) {
         let timeouts =
             Timeouts { connect: self.wire_settings.connect_timeout, idle: self.wire_settings.idle_timeout };
@@ -338,7 +339,7 @@
             if conn.has_nothing_to_read() {
                 return self.half_close(now, key);
             }
-            // What has come meanwhile is read first.
+            // Input has arrived meanwhile and is read first.
             conn.deadline = now + MAX_ITERATION_TIME;
             return self.core.deadlines.set(conn.deadline, DeadlineKind::Connection(key));
         }
@@ -348,7 +349,7 @@
                 Some(_) => CloseReason::MessageStalled,
                 None => CloseReason::Idle,
             };
-            // Answers may still be on their way to a client that is owed nothing more.
+            // The last replies may still be in transit to the client, so the connection is closed gracefully.
             if conn.role.is_client_without_requests()
                 && conn.output.remaining().is_empty()
                 && conn.state == ConnectionState::Open
@@ -361,7 +362,7 @@
         self.core.deadlines.set(conn.deadline, DeadlineKind::Connection(key));
     }
 
-    /// Takes messages off the connections whose next request has its turn.
+    /// Handles buffered input of the connections that [`Self::resume`] scheduled.
     pub(super) fn resume_all(&mut self, now: MonotonicTime) {
         for key in std::mem::take(&mut self.resumable) {
             let Some(conn) = self.connections.get_mut(key) else { continue };
@@ -378,19 +379,19 @@
     }
 }
 
-/// What the poller is to report of a connection.
+/// The poller's interest for a connection.
 fn poll_event(key: SlotKey, interest: Interest) -> Event {
     let Interest { readable, writable } = interest;
     Event { key: PollKey::Connection(key).into(), readable, writable }
 }
 
-/// Why a connection is closed, as text.
+/// The text of a close reason for logs and effects.
 fn describe(reason: Option<&CloseReason>) -> String {
     reason.map_or_else(|| "closed".to_string(), CloseReason::to_string)
 }
 
-/// Reads until nothing more waits, or a turn's bytes are read. Returns why the connection has ended, if it has.
-/// `buffer`: what one read takes in, before it goes to the input.
+/// Reads until the socket has no more bytes or [`MAX_BYTES_PER_ITERATION`] are read. Returns why the connection has
+/// ended, if it has. `buffer`: scratch space for one read.
 fn read_available(
     now: MonotonicTime,
     conn: &mut Connection,
@@ -401,7 +402,7 @@
     let mut total_read = 0;
     conn.fully_read = false;
     while total_read < MAX_BYTES_PER_ITERATION {
-        // Large answers are taken in large pieces.
+        // Large messages are read in large pieces.
         let read_bytes =
             if input.bytes.len() > FIRST_READ_BYTES { LARGE_READ_BYTES } else { FIRST_READ_BYTES };
         match read_once(&conn.stream, &mut buffer[..read_bytes]) {
@@ -413,7 +414,8 @@
                 if let Role::SignedClient(session) = &mut conn.role {
                     session.record_read(now, count);
                 }
-                // Of a client the end is wanted too: nothing is begun for one that has left.
+                // A client's socket is read on to detect its end: no request is begun for a client that has
+                // disconnected.
                 if count < read_bytes && !is_client {
                     return None;
                 }
--- a/gateway/src/net/documents.rs
+++ b/gateway/src/net/documents.rs
@@ -1,4 +1,5 @@
-//! Documents of the event stream, put in force over the gateway's own file the way a reload puts that file in force.
+//! Applies configuration documents of the event stream as an overlay on the gateway's own files, in the way of a
+//! reload.
 use super::errors::ConfigurationError;
 use super::Gateway;
 use crate::bulletin::StoreAttributes;
@@ -13,24 +14,24 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// The time after which documents are tried again for which this machine was short of something.
+/// Delay before documents that failed because of a local shortage are tried again.
 const SHORTAGE_BACKOFF: Duration = Duration::from_millis(500);
 
-/// The time after which the rest of documents is tried once a part was rejected. Danger: at once, a snapshot with many
-/// that cannot be used would hold up one turn of the loop with all of them.
+/// Delay before the remaining documents are tried after some were rejected. Trying them at once would block one
+/// iteration of the event loop for as long as a snapshot with many invalid documents takes.
 const PENDING_DELAY: Duration = Duration::from_millis(1);
 
-/// The document because of which others that came with it cannot be used either.
+/// The document that makes a candidate invalid.
 struct FaultyDocument {
     id: DocumentId,
     error: ConfigError,
 }
 
 impl Gateway {
-    /// Puts documents in force, or leaves all as it was; what came with the one at fault is rejected, and the rest is
-    /// tried in the next turn.
+    /// Applies the documents of a candidate, or leaves the configuration unchanged: then the documents of the faulty
+    /// document's event are rejected, and the others are tried in a later iteration.
     pub(super) fn apply_documents(&mut self, now: MonotonicTime, candidate: Candidate) {
-        // A later candidate holds all that an earlier one has left.
+        // A later candidate contains what remains of an earlier one.
         self.pending_documents = None;
         match self.try_documents(now, &candidate) {
             Ok(()) => {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Leaves documents out because of one of them, or all if it is not known which.
+    /// Rejects documents because of the faulty one, or all of them if it is not known which one is faulty.
     fn reject_documents(
         &mut self,
         now: MonotonicTime,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Tries what is left of documents, or those again for which this machine was short of something.
+    /// Tries the remaining documents, or retries those that failed because of a local shortage.
     pub(super) fn check_documents(&mut self, now: MonotonicTime) {
         self.documents_deadline = None;
         match self.pending_documents.take() {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Tries the documents again that were rejected: the file may be another one.
+    /// Retries rejected documents: they may be valid with changed files.
     pub(super) fn retry_documents(&mut self, now: MonotonicTime) {
         self.pending_documents = None;
         if let Some(candidate) = self.events.retry_documents() {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Puts documents about stores in the place of those in force.
+    /// Replaces the store documents in force and applies the endpoints that change with them.
     pub(super) fn override_stores(
         &mut self,
         now: MonotonicTime,
@@ -101,7 +102,7 @@
         self.core.deadlines.reschedule(&mut self.documents_deadline, Some(at), DeadlineKind::Documents);
     }
 
-    /// Reads the file in force anew with these documents over it, and puts that in force.
+    /// Loads the files in force with these documents as an overlay, and applies the result.
     fn try_documents(&mut self, now: MonotonicTime, candidate: &Candidate) -> Result<(), ConfigurationError> {
         let Some(files) = &self.files_in_force else { return Ok(()) };
         let loaded = self.load_changes(files, candidate, EventNumber::MAX)?.without_hierarchy();
@@ -109,8 +110,8 @@
         self.replace_configuration(now, loaded, listeners)
     }
 
-    /// The document with whose event the file cannot be used any more. It is searched for by halving: a snapshot has
-    /// hundreds.
+    /// Finds the first event whose documents make the files invalid, by binary search, since a snapshot has hundreds of
+    /// documents.
     fn find_faulty_document(&self, candidate: &Candidate) -> Option<FaultyDocument> {
         let files = self.files_in_force.as_ref()?;
         let load = |last: EventNumber| self.load_changes(files, candidate, last);
@@ -122,7 +123,7 @@
         Some(FaultyDocument { id: change.id.clone(), error })
     }
 
-    /// The file with those of these documents over it that came up to an event.
+    /// Loads the files with an overlay of the candidate's documents up to the event number `last`.
     fn load_changes(
         &self,
         files: &FileSet,
@@ -134,7 +135,7 @@
     }
 }
 
-/// The documents of a candidate, as they are logged.
+/// The ids and versions of a candidate's documents, for the log.
 fn document_names(candidate: &Candidate) -> String {
     let name = |change: &DocumentChange| format!("{} {}", change.id, change.version);
     candidate.changes().iter().map(name).collect::<Vec<_>>().join(", ")
--- a/gateway/src/net/endpoint_list.rs
+++ b/gateway/src/net/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of stores as events, merged sources, operators and the hierarchy change it.
+//! Changes of the endpoint list by events, merged sources and operators, and of the parents' weights by the hierarchy.
 use super::Gateway;
 use crate::bulletin::Change;
 use crate::connection::Role;
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 impl Gateway {
-    /// Passes the weights of the parents to the module, and sets when they change next.
+    /// Passes the hierarchy's parent weights and settings to the core, and schedules the hierarchy's next change.
     pub(super) fn check_hierarchy(&mut self, now: MonotonicTime) {
         let Some(hierarchy) = &mut self.hierarchy else { return };
         if let Some(weights) = hierarchy.tick(now) {
@@ -29,7 +29,7 @@
         );
     }
 
-    /// Reports to the hierarchy which parents fills have made suspect of a loop.
+    /// Reports to the hierarchy the parents for which fills indicate a routing loop, so that it excludes them.
     pub(super) fn report_suspected_loops(&mut self, now: MonotonicTime) {
         if self.core.suspected_parents.is_empty() {
             return;
@@ -41,12 +41,12 @@
         self.check_hierarchy(now);
     }
 
-    /// Whether a request that has been at these places may pass (RFC 8586); without a hierarchy nothing is known of it.
+    /// Whether a request with this `CDN-Loop` trail (RFC 8586) is admitted; without a hierarchy every request is.
     pub(super) fn admits_via(&mut self, via: &str) -> bool {
         self.hierarchy.as_mut().is_none_or(|hierarchy| hierarchy.admits_trail(via))
     }
 
-    /// Applies an event: a change of the list by way of the merge, where sources are merged.
+    /// Applies an event. A change of the endpoint list goes through the merge of sources if sources are merged.
     pub(super) fn apply_event(&mut self, now: MonotonicTime, change: Change) {
         match (change, self.membership.as_mut().filter(|m| m.merges_sources())) {
             (Change::EndpointList { scope, endpoints }, Some(membership)) => {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Applies a change of the merged list, by way of what operators say of stores, or a purge.
+    /// Applies a change of the merged endpoint list, overlaid with the documents about stores, or a purge.
     pub(super) fn apply_merged_change(&mut self, now: MonotonicTime, change: &Change) {
         match change {
             Change::EndpointList { scope, endpoints } => {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Applies entries of the list, documents included, by way of what operators say of stores.
+    /// Applies endpoint entries, documents included, subject to manual ejections.
     pub(super) fn apply_list_entries(
         &mut self,
         now: MonotonicTime,
@@ -79,7 +79,8 @@
         self.apply_ejection_input(now, manual_ejection::Input::EndpointList { scope, entries });
     }
 
-    /// Takes in what the list, an operator or another process says of stores. Returns what a caller is answered.
+    /// Handles an input for manual ejections: endpoints, an operator's request or another process's records. Returns
+    /// the outcome if the input was an operator's request.
     pub(super) fn apply_ejection_input(
         &mut self,
         now: MonotonicTime,
@@ -109,7 +110,8 @@
         outcome
     }
 
-    /// Others may have reported times: starts of stores that turn out to be earlier are so for the decision module.
+    /// Corrects the start times of stores with the latest bound on how fast this clock may be, and passes those that
+    /// turn out to be earlier to the decision module.
     pub(super) fn bound_clock(&mut self, now: MonotonicTime) {
         let max_fast_of_nodes = self.membership.as_ref().and_then(Membership::max_clock_fast);
         let max_fast = self.wire_times.max_fast().into_iter().chain(max_fast_of_nodes).min();
@@ -117,13 +119,13 @@
         self.core.date_starts(now, earlier_starts);
     }
 
-    /// Takes over how another process of this gateway dates the starts of stores.
+    /// Adopts the store start times that another process of this gateway has recorded.
     pub(super) fn take_over_starts(&mut self, now: MonotonicTime, starts: impl Iterator<Item = DatedStart>) {
         let earlier_starts = self.start_dates.take_over(starts);
         self.core.date_starts(now, earlier_starts);
     }
 
-    /// Applies a change of the list as it counts: to the core, the hierarchy and the connections to stores.
+    /// Applies the effective change of the endpoint list to the core, the hierarchy and the connections to stores.
     fn apply_effective_list(&mut self, now: MonotonicTime, scope: ListScope, mut endpoints: Vec<Endpoint>) {
         self.bound_clock(now);
         self.start_dates.date(now, scope, &mut endpoints);
--- a/gateway/src/net/ensemble.rs
+++ b/gateway/src/net/ensemble.rs
@@ -1,4 +1,4 @@
-//! Membership by way of the ensemble: its connection, and the effects of the membership protocol.
+//! Membership in the ensemble: the connection to it, and the effects of the membership protocol.
 use super::errors::CloseReason;
 use super::Gateway;
 use crate::connection::{ConnectFailure, Role};
@@ -9,11 +9,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a server of the ensemble is given at least to accept a connection.
+/// Minimum connect time-out for a server of the ensemble.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Gateway {
-    /// Begins or changes membership.
+    /// Creates or reconfigures membership.
     pub(super) fn configure_membership(
         &mut self,
         now: MonotonicTime,
@@ -35,14 +35,14 @@
         self.apply_membership_effects(now, effects);
     }
 
-    /// Lets membership act on the time that has passed.
+    /// Handles the membership deadline.
     pub(super) fn check_membership(&mut self, now: MonotonicTime) {
         self.membership_deadline = None;
         let effects = self.membership.as_mut().map(|m| m.tick(now)).unwrap_or_default();
         self.apply_membership_effects(now, effects);
     }
 
-    /// Passes to membership what own attempts have shown.
+    /// Passes to membership what the gateway's own attempts show of the stores' health.
     pub(super) fn report_evidence(&mut self, now: MonotonicTime) {
         if let (Some(evidence), Some(membership)) = (&mut self.core.evidence, &mut self.membership) {
             if !evidence.is_empty() {
@@ -52,15 +52,16 @@
         }
     }
 
-    /// Makes the connect to the ensemble again that this machine had no room for, if its time has come.
+    /// Retries the connect to the ensemble that was postponed because of a local shortage, if its time has come.
     pub(super) fn retry_ensemble_connect(&mut self, now: MonotonicTime) {
         if let Some(waiting) = take_due(&mut self.postponed_ensemble_connect, now) {
             self.connect_to_ensemble(now, waiting.since, waiting.work);
         }
     }
 
-    /// Connects to a server of the ensemble, which was tried first at `since`. Danger: a shortage of this machine, laid
-    /// to the server, leaves one that is well, and its backoff grows.
+    /// Connects to a server of the ensemble; `since`: when this was first tried. A local shortage is retried until the
+    /// connect time-out: attributed to the server, it would make membership leave a healthy server and back off from
+    /// it.
     fn connect_to_ensemble(&mut self, now: MonotonicTime, since: MonotonicTime, address: SocketAddr) {
         self.postponed_ensemble_connect = None;
         let timeout = self.wire_settings.connect_timeout.max(MIN_CONNECT_TIMEOUT);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Carries out what membership ordered, and sets when it is to be looked at next.
+    /// Carries out the effects of membership and schedules its next deadline.
     pub(super) fn apply_membership_effects(&mut self, now: MonotonicTime, effects: Vec<Effect>) {
         if self.membership.is_none() {
             return;
@@ -97,7 +98,7 @@
                 Effect::Close(reason) => {
                     self.postponed_ensemble_connect = None;
                     if let Some(key) = self.ensemble_connection {
-                        // What ends a session goes out before its connection does.
+                        // The message that ends the session must be sent before the connection is closed.
                         self.flush(now, key);
                     }
                     if let Some(key) = self.ensemble_connection.take() {
--- a/gateway/src/net/errors.rs
+++ b/gateway/src/net/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of the event loop: why the gateway does not run, why a configuration is not put in force, and why a
-//! connection is closed.
+//! Errors of the event loop: why the gateway does not run, why a configuration is rejected, and why a connection is
+//! closed.
 use crate::config::{ConfigError, ShapeError};
 use crate::event_loop_error::EventLoopError;
 use crate::hierarchy::TopologyError;
@@ -11,42 +11,42 @@
 use std::io;
 use thiserror::Error;
 
-/// Why the gateway does not start, or ends before it was signalled to.
+/// Why the gateway does not start, or exits without a signal.
 #[derive(Debug, Error)]
 pub enum GatewayError {
     /// The files of the configuration cannot be used.
     #[error(transparent)]
     Files(#[from] ConfigError),
-    /// The configuration cannot be put in force.
+    /// The configuration cannot be applied.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The event loop does not start, or ends early.
+    /// The event loop cannot start or continue.
     #[error(transparent)]
     EventLoop(#[from] EventLoopError),
 }
 
-/// Why a configuration is not put in force.
+/// Why a configuration is not applied.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// A file of it cannot be used.
+    /// A configuration file cannot be used.
     #[error(transparent)]
     Files(#[from] ConfigError),
-    /// A key is new in it, missing, or of another kind.
+    /// A key was added, removed, or has a value of another type than in the configuration in force.
     #[error(transparent)]
     Shape(#[from] ShapeError),
-    /// Names that connections know by number are others in it.
+    /// Names that are referred to by their position in a list have changed.
     #[error(transparent)]
     Names(#[from] NamesChanged),
-    /// The file of the hierarchy cannot be put in force.
+    /// The hierarchy file cannot be applied.
     #[error(transparent)]
     Hierarchy(#[from] TopologyError),
-    /// An address of it cannot be listened on.
+    /// A configured address cannot be listened on.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// Documents that came while they were not applied would be missing.
+    /// A reload turned on documents of the event stream. Documents received before would be missing.
     #[error("configuration: only a restart can turn it on")]
     DocumentsNeedRestart,
-    /// The worker that saves files cannot be started.
+    /// The worker thread that saves files cannot be started.
     #[error("cannot start the writer of files: {0}")]
     StartWriter(#[source] io::Error),
 }
@@ -68,31 +68,31 @@
 /// Why a connection is closed.
 #[derive(Debug, Error)]
 pub enum CloseReason {
-    /// The other side has closed it.
+    /// The peer has closed the connection.
     #[error("closed by the other side")]
     ClosedByPeer,
-    /// A system call on it failed.
+    /// A system call on the connection failed.
     #[error("{0}")]
     Failed(#[from] io::Error),
-    /// A message of a client cannot be understood.
+    /// A client's message violates the protocol.
     #[error(transparent)]
     MalformedCall(#[from] thrift::ProtocolError),
-    /// A reply of a store cannot be understood.
+    /// A store's reply violates the protocol.
     #[error(transparent)]
     MalformedReply(#[from] resp::ProtocolError),
-    /// It did not come up in time.
-    #[error("no connection in time")]
+    /// The connection was not established in time.
+    #[error("connect timed out")]
     ConnectTimeout,
-    /// A message on it is incomplete and does not go on.
-    #[error("a message does not go on")]
+    /// The rest of an incomplete message did not arrive in time.
+    #[error("the rest of a message did not arrive in time")]
     MessageStalled,
-    /// Nothing was asked for on it for long.
-    #[error("idle")]
+    /// No request was sent on the connection within the idle time-out.
+    #[error("idle time-out")]
     Idle,
-    /// No answer came on it in time.
-    #[error("nothing came on it")]
+    /// A store sent nothing on the connection within the silence time-out of an abandoned attempt.
+    #[error("no reply in time")]
     NoAnswer,
-    /// The protocol spoken on it leaves it.
+    /// The protocol on the connection requested the close, for this reason.
     #[error("{0}")]
     Left(String),
 }
--- a/gateway/src/net/event_source.rs
+++ b/gateway/src/net/event_source.rs
@@ -1,4 +1,4 @@
-//! The source of events: its connection, and the effects of the stream.
+//! The connection to the source of events, and the effects of the event stream.
 use super::Gateway;
 use crate::connection::{ConnectFailure, Role};
 use crate::deadlines::DeadlineKind;
@@ -9,21 +9,21 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// A request for events to a source.
+/// A subscription request to a source of events.
 pub(super) struct EventsRequest {
     address: SocketAddr,
     bytes: Vec<u8>,
 }
 
 impl Gateway {
-    /// Handles the deadline of the stream of events.
+    /// Handles the deadline of the event stream.
     pub(super) fn check_events(&mut self, now: MonotonicTime) {
         self.events_deadline = None;
         let effects = self.events.tick(now);
         self.apply_event_effects(now, effects);
     }
 
-    /// Carries out what the stream of events asks for, and sets its next deadline.
+    /// Carries out the effects of the event stream and schedules its next deadline.
     pub(super) fn apply_event_effects(&mut self, now: MonotonicTime, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -55,7 +55,7 @@
         self.core.deadlines.reschedule(&mut self.events_deadline, next_due, DeadlineKind::Events);
     }
 
-    /// Writes to the source of events, if there is a connection to it.
+    /// Writes to the source of events, if connected.
     fn write_events(&mut self, now: MonotonicTime, bytes: &[u8]) {
         let Some(key) = self.events_connection else { return };
         if let Some(connection) = self.connections.get_mut(key) {
@@ -64,15 +64,17 @@
         self.flush(now, key);
     }
 
-    /// Sends the request for events again that waits for a connection, if its time has come.
+    /// Retries the connect to the source of events that was postponed because of a local shortage, if its time has
+    /// come.
     pub(super) fn retry_events_connect(&mut self, now: MonotonicTime) {
         if let Some(postponed) = take_due(&mut self.postponed_events_connect, now) {
             self.connect_to_events(now, postponed.since, postponed.work);
         }
     }
 
-    /// Connects to a source of events, which was tried first at `since`. Danger: a shortage of this machine, attributed
-    /// to the source, leaves one that is well for another that may be behind.
+    /// Connects to a source of events; `since`: when this was first tried. A local shortage is retried until the
+    /// connect time-out: attributed to the source, it would make the gateway leave a healthy source for one that may
+    /// lag behind.
     fn connect_to_events(&mut self, now: MonotonicTime, since: MonotonicTime, request: EventsRequest) {
         self.postponed_events_connect = None;
         let timeout = self.wire_settings.connect_timeout;
@@ -95,7 +97,7 @@
         }
     }
 
-    /// The source of events was alive at that time, or has lost contact.
+    /// Records when the source of events was last alive, or, with none, that contact with it is lost.
     fn update_event_contact(&mut self, now: MonotonicTime, last_contact: Option<MonotonicTime>) {
         let connectivity =
             if last_contact.is_some() { Connectivity::Connected } else { Connectivity::Disconnected };
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners of the fronts: accepting clients, and the pause when this machine has no descriptor left.
+//! Listeners of the fronts: accepting clients, and the pause when no file descriptor is left.
 use super::poll_key::{ClientListener, PollKey};
 use super::Gateway;
 use crate::connection::{ConnectionState, Role, MESSAGE_TIMEOUT};
@@ -14,13 +14,13 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// The time for which no client is taken in once there is no descriptor for one.
+/// How long accepting is paused when no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Clients taken in at one event of a listener before others get their turn.
+/// Maximum number of clients accepted per listener event, so that other events are not delayed.
 const ACCEPT_BATCH: usize = 64;
 
 impl Gateway {
-    /// Listens for clients of both fronts. `shared`: other processes of the gateway may listen there too.
+    /// Opens the listeners of both fronts. `shared`: other processes of the gateway may listen at the same addresses.
     pub(super) fn open_client_listeners(&mut self, shared: bool) -> Result<(), ListenError> {
         self.platform_listener = Some(listen_and_poll_at_start(
             &self.poller,
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Logs the addresses at which clients come in.
+    /// Logs the addresses of the fronts' listeners.
     pub(super) fn log_listening(&self) {
         for listener in [self.platform_listener.as_ref(), self.signed_listener.as_ref()].into_iter().flatten()
         {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes clients in, some at a time. Returns whether there may be more.
+    /// Accepts up to [`ACCEPT_BATCH`] clients. Returns whether more may be waiting.
     pub(super) fn accept(&mut self, now: MonotonicTime, kind: ClientListener) -> bool {
         for _ in 0..ACCEPT_BATCH {
             let listener = match kind {
@@ -85,23 +85,23 @@
                         self.pause_accepting(now, &e);
                         return false;
                     }
-                    // One that has gone while it waited says nothing of those behind it.
-                    _ => warn!(error = %e, "a client cannot be taken in"),
+                    // The client has disconnected while it was queued; those behind it can still be accepted.
+                    _ => warn!(error = %e, "accepting a client failed"),
                 },
             }
         }
         true
     }
 
-    /// There is no descriptor for one more connection. Danger: whoever waits at a listener stays in its queue, and the
-    /// poller reports it again at once, for ever. All listeners are left alone for a while, and the rest is served.
+    /// Stops polling all listeners for [`ACCEPT_PAUSE`] because no descriptor is left. Otherwise the poller would
+    /// report the client that stays in the queue again and again, and the loop would spin.
     pub(super) fn pause_accepting(&mut self, now: MonotonicTime, why: &io::Error) {
         warn!(error = %why, "cannot accept");
         self.set_listener_interest(false);
         self.core.deadlines.set(now + ACCEPT_PAUSE, DeadlineKind::Accept);
     }
 
-    /// Polls all listeners, or none.
+    /// Starts or stops polling of all listeners.
     pub(super) fn set_listener_interest(&mut self, readable: bool) {
         let all: [(PollKey, Option<BorrowedFd<'_>>); 5] = [
             (
@@ -123,18 +123,19 @@
         }
     }
 
-    /// Takes in what waits at a listener, then closes it: what is left in its queue would be reset.
+    /// Accepts the queued clients of a listener, then closes it: closing resets the clients that are still in the
+    /// queue.
     pub(super) fn close_listener(&mut self, now: MonotonicTime, kind: ClientListener) {
         while self.accept(now, kind) {}
         let listener = match kind {
             ClientListener::Platform => self.platform_listener.take(),
             ClientListener::Signed => self.signed_listener.take(),
         };
-        // A listener that is dropped is no longer polled; there is nothing to do about an error here.
+        // The listener is dropped and so no longer polled; an error has no effect.
         listener.into_iter().for_each(|old| drop(self.poller.delete(&old)));
     }
 
-    /// Listens no more.
+    /// Closes the listeners of both fronts.
     pub(super) fn stop_listening(&mut self, now: MonotonicTime) {
         for kind in [ClientListener::Platform, ClientListener::Signed] {
             self.close_listener(now, kind);
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The event loop: one poller, one thread, and the state that all of its handlers share.
 //!
-//! Each event of the poller and each deadline is handed to the child module whose job it is. These modules hold
-//! `impl Gateway` blocks; a handler never blocks, and what it asks of others is carried out before the next event.
+//! Each event of the poller and each deadline is dispatched to a handler in a child module, which holds an `impl
+//! Gateway` block. Handlers never block; the commands that they queue are carried out before the next event.
 mod clients;
 mod configuration;
 mod connections;
@@ -67,152 +67,152 @@
 use std::time::Duration;
 use tracing::info;
 
-/// The time after which a turn of the loop is cut, so that callers of the console do not wait (the platform gives them
-/// a second): what is left is polled again.
+/// Time limit of one iteration of the loop; remaining events are polled again. It keeps callers of the console, who
+/// have a time-out of one second, from waiting.
 const MAX_ITERATION_TIME: Duration = Duration::from_millis(20);
 
-/// Whether a roster is saved for the next process.
+/// Whether the roster of gateways is saved for the next process.
 fn saves_roster(ensemble: Option<&EnsembleSettings>) -> bool {
     ensemble.is_some_and(|ensemble| ensemble.state_folder.is_some())
 }
 
-/// The gateway: listeners, connections, and all that is known of stores, peers and operators.
+/// The gateway: its listeners, its connections, and its state about stores, peers and operators.
 pub struct Gateway {
     poller: Poller,
-    /// Clients of the platform's front come in here; none before all is known, and none once they are left to the next
-    /// process.
+    /// The listener of the platform's front; absent until startup is complete and after accepting has ended.
     platform_listener: Option<TcpListener>,
-    /// Where it listens, as configured.
+    /// The configured address of the platform's front.
     platform_address: SocketAddr,
-    /// Clients of the front of signed URLs come in here, if it is on.
+    /// The listener of the front for signed links, if it is enabled.
     signed_listener: Option<TcpListener>,
-    /// The front of signed URLs, if it is on.
+    /// The settings of the front for signed links, if it is enabled.
     front: Option<FrontSettings>,
-    /// Membership, if the instance registers.
+    /// Membership, if an ensemble is configured.
     membership: Option<Membership>,
-    /// When membership acts next.
+    /// The next deadline of membership.
     membership_deadline: Option<MonotonicTime>,
-    /// The live gateways of each zone, as membership has them.
+    /// Number of live gateways by zone, as reported by membership.
     live_gateways: BTreeMap<usize, u64>,
     /// The connection to the ensemble.
     ensemble_connection: Option<SlotKey>,
-    /// A connect to a server of the ensemble that this machine had no room for.
+    /// A connect to a server of the ensemble that was postponed because of a local shortage.
     postponed_ensemble_connect: Option<Postponed<SocketAddr>>,
-    /// The admin socket, if one is configured and its path was free.
+    /// The admin socket, if it is configured and could be opened.
     admin: Option<Admin>,
-    /// When the admin socket is opened again, if this machine was short of something for it.
+    /// When opening the admin socket is retried after a local shortage.
     admin_deadline: Option<MonotonicTime>,
     /// The hierarchy of caches, if one is configured.
     hierarchy: Option<Hierarchy>,
-    /// When the hierarchy changes next.
+    /// The next deadline of the hierarchy.
     hierarchy_deadline: Option<MonotonicTime>,
-    /// The other gateways of the tier, if the fleet's view is held.
+    /// The exchange with the other gateways of the tier, if configured.
     peers: Option<Peers>,
-    /// When the fleet's view acts next.
+    /// The next deadline of the exchange with the other gateways.
     peers_deadline: Option<MonotonicTime>,
     /// The settings in force.
     settings: Settings,
-    /// The keys of the configuration in force, which the next one must have too.
+    /// The keys of the configuration in force, which a reload must not change.
     shape: Shape,
-    /// Where operators call, as configured.
+    /// The configured address of the console.
     console_address: Option<SocketAddr>,
-    /// The console, once its address was free.
+    /// The console, once its address could be bound.
     console: Option<Console>,
-    /// When the console acts next.
+    /// The next deadline of the console.
     console_deadline: Option<MonotonicTime>,
-    /// What operators say of stores.
+    /// Stores that operators have ejected.
     manual_ejections: ManualEjections,
-    /// When the view of another process runs out next.
+    /// When an ejection that another process reported expires next.
     ejection_deadline: Option<MonotonicTime>,
-    /// Descriptors that the gateway may have, all of its processes together.
+    /// Limit on file descriptors of all processes of the gateway together.
     descriptor_limit: usize,
-    /// The sockets of the gateway's other processes.
+    /// The connections to the gateway's other processes; absent if there is no shared folder or it cannot be used.
     upgrade: Option<Upgrade>,
-    /// How the gateway's other processes are.
+    /// The status of the gateway's other processes.
     processes: ProcessGroup,
-    /// Until when the other processes know what was sent to stores that warm up.
+    /// Up to when the work sent to warming stores was reported to the other processes.
     sent_work_reported_until: MonotonicTime,
-    /// The worker that saves files, where one is needed.
+    /// The worker that saves files, if any file is to be saved.
     saver: Option<StateSaver>,
-    /// When an operator who waits for a file is answered all the same.
+    /// When an operator's call is answered even if its file is not durable yet.
     saver_deadline: Option<MonotonicTime>,
-    /// How far the shutdown of this process has come.
+    /// The state of this process's graceful shutdown.
     shutdown: Shutdown,
-    /// The poll key that was next when the last turn was cut: the next turn begins there.
+    /// Poll key of the first event that the last iteration left unserved; the next iteration starts with it.
     first_unserved: Option<usize>,
-    /// Connections whose next request may be taken from what was read before.
+    /// Connections whose buffered input may be parsed for the next request.
     resumable: Vec<SlotKey>,
-    /// Random numbers, by the seed as configured.
+    /// Random numbers from the configured seed.
     random_numbers: RandomNumbers,
-    /// The files that the configuration is read from.
+    /// The files of the configuration.
     files: Files,
-    /// The files in force, where documents of the event stream are laid over them.
+    /// The contents of the files in force, if documents of the event stream are overlaid on them.
     files_in_force: Option<FileSet>,
-    /// What is left of documents after a part was rejected; tried in the next turn.
+    /// Documents that remain to be tried after others of their candidate were rejected.
     pending_documents: Option<Candidate>,
-    /// When documents are tried next, if any are pending or this machine was short of something for them.
+    /// When pending documents, or those that failed because of a local shortage, are tried next.
     documents_deadline: Option<MonotonicTime>,
-    /// Documents that stand over the endpoint list.
+    /// Documents about stores, which override entries of the endpoint list.
     store_overrides: StoreOverrides,
-    /// A reload that waits for a socket of this machine.
+    /// A reload that was postponed because of a local shortage.
     postponed_reload: Option<Postponed<PendingReload>>,
     /// SIGTERM and SIGINT write a byte here.
     stop_signal: UnixStream,
     /// SIGHUP writes a byte here.
     reload_signal: UnixStream,
-    /// All connections but those of operators and of the gateway's other processes.
+    /// All connections except those of operators and of the gateway's other processes.
     connections: Slots<Connection>,
-    /// The stores that are listed, each with its connections.
+    /// The listed stores with their connections.
     pools: Pools,
-    /// The stream of events.
+    /// The event stream.
     events: Events,
     /// The connection to the source of events.
     events_connection: Option<SlotKey>,
-    /// A call for events that this machine had no room to connect for.
+    /// A connect to the source of events that was postponed because of a local shortage.
     postponed_events_connect: Option<Postponed<EventsRequest>>,
-    /// When the stream of events acts next.
+    /// The next deadline of the event stream.
     events_deadline: Option<MonotonicTime>,
-    /// The zone of this gateway, as a number.
+    /// The index of this gateway's zone.
     own_zone: usize,
-    /// Names and limits of the wires.
+    /// Names and limits used by the wire protocols.
     wire_settings: WireSettings,
-    /// Times that other machines state, on the clock here.
+    /// Converts times stated by other machines to this process's clock.
     wire_times: WireTimes,
+    /// When the stores started, on this process's clock.
     start_dates: StartDates,
-    /// Requests and attempts.
+    /// The open requests and attempts, and the decision module.
     core: Core,
-    /// Bytes that the gateway may take, all of its processes together.
+    /// Limit on the memory, in bytes, of all processes of the gateway together.
     memory_limit: usize,
-    /// Bytes that the connections of all clients hold, read and not dealt with or written and not sent.
+    /// Buffered bytes of all client connections: unprocessed input and unsent output.
     client_bytes: usize,
-    /// The most that they may hold.
+    /// Limit on [`Self::client_bytes`] in this process.
     max_client_bytes: usize,
-    /// What one read of a connection takes in, before it goes to that connection's input.
+    /// Scratch buffer for one read of a connection.
     read_buffer: Vec<u8>,
-    /// The longest turn of the loop.
+    /// Duration of the longest iteration of the loop so far.
     longest_iteration: Duration,
-    /// How this process shares its descriptors out.
+    /// Limits on this process's descriptors by use.
     descriptor_limits: DescriptorLimits,
-    /// Connections of clients.
+    /// Number of client connections, half-closed ones included.
     client_count: usize,
-    /// Of these, those that are half-closed.
+    /// Number of half-closed client connections.
     half_closed_count: usize,
-    /// Connections to stores.
+    /// Number of connections to stores.
     store_connection_count: usize,
 }
 
 impl Gateway {
-    /// A number that is new with every call, and with every start.
+    /// The next random number; the sequence differs from one start of the process to the next.
     fn random(&mut self) -> u64 {
         self.random_numbers.next(clock::now())
     }
 
-    /// Whether SIGTERM has come.
+    /// Whether SIGTERM or SIGINT was received.
     fn is_stopping(&self) -> bool {
         self.shutdown.is_signalled()
     }
 
-    /// Serves until SIGTERM, and then until all that was taken is answered.
+    /// Runs the event loop until SIGTERM, and then until all accepted requests are answered.
     pub fn run(&mut self) -> Result<(), GatewayError> {
         let mut events = Vec::new();
         self.log_listening();
@@ -227,7 +227,10 @@
             }
             if self.is_finished() {
                 self.finish_saves();
-                info!(longest_iteration_ms = ceil_millis(self.longest_iteration), "the event loop ends");
+                info!(
+                    longest_iteration_ms = ceil_millis(self.longest_iteration),
+                    "the event loop has stopped"
+                );
                 return Ok(());
             }
             self.wait_for_events(&mut events)?;
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Handles every deadline that has come.
+    /// Handles every expired deadline.
     fn handle_due_deadlines(&mut self, now: MonotonicTime) {
         while let Some(due) = self.core.deadlines.pop(now) {
             self.handle_deadline(now, due);
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Waits until there are events, a signal interrupts, or the next deadline has come.
+    /// Waits for events, a signal or the next deadline.
     fn wait_for_events(&mut self, events: &mut Vec<Event>) -> Result<(), EventLoopError> {
         let timeout = self.core.deadlines.next().map(|next| next.saturating_since(clock::now()));
         events.clear();
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Serves events in order until the turn has taken its time; what is left is polled again.
+    /// Handles events in order until the iteration's time limit; unserved events are polled again.
     fn handle_events(&mut self, events: &mut [Event]) {
         let turn_started = clock::now();
         order_events(events, self.first_unserved.take(), |key| PollKey::from(key).is_urgent());
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Serves what an event of the poller reports.
+    /// Dispatches an event of the poller to its handler.
     fn handle_event(&mut self, now: MonotonicTime, event: &Event) {
         match PollKey::from(event.key) {
             PollKey::Connection(key) => self.handle_connection_event(now, key, event),
@@ -287,8 +290,8 @@
         }
     }
 
-    /// SIGTERM or SIGINT has come: requests are still taken in for a while, or clients are left to the next
-    /// process at once.
+    /// Handles SIGTERM or SIGINT: accepts requests for [`ACCEPT_GRACE_PERIOD`] more, or stops listening at once if
+    /// another process accepts clients.
     fn begin_shutdown(&mut self, now: MonotonicTime) {
         drain(&self.stop_signal);
         let is_first_signal = !self.shutdown.is_signalled();
@@ -310,7 +313,7 @@
         if !is_first_signal {
             return;
         }
-        // Danger: the platform ends the process, and with it whatever waits for longer than that.
+        // All requests must be answered before the platform kills the process, which would lose those still open.
         let longest_deadline =
             self.core.classes.current().map(|slot| slot.settings.deadline).max().unwrap_or_default();
         let reply_by = final_reply_deadline(now, longest_deadline);
@@ -318,19 +321,19 @@
         if !self.processes.has_successor() {
             self.peers.iter_mut().for_each(|peers| peers.leave(now));
         }
-        // The own node goes first, so that the fleet's users turn to the others.
+        // The node of this gateway is deleted first, so that clients connect to other gateways.
         let effects = self.membership.as_mut().map(|m| m.close(now)).unwrap_or_default();
         self.apply_membership_effects(now, effects);
         self.core.deadlines.set(now + ACCEPT_GRACE_PERIOD, DeadlineKind::StopAccepting);
     }
 
-    /// Whether it was signalled to stop, listens no more, owes nothing, and no client is connected: one that rests is
-    /// owed an orderly end, since answers may still be on their way to it.
+    /// Whether the shutdown is complete: the listeners are closed, all requests are answered, and no client is
+    /// connected. Idle clients also have to be closed gracefully, since replies may still be in transit to them.
     fn is_finished(&self) -> bool {
         self.shutdown.is_closing() && self.core.unanswered_requests() == 0 && self.client_count == 0
     }
 
-    /// Handles one deadline: each part of the gateway looks at what is due there.
+    /// Handles one expired deadline.
     fn handle_deadline(&mut self, now: MonotonicTime, due: DeadlineKind) {
         match due {
             DeadlineKind::Connection(key) => self.check_timeout(now, key),
@@ -371,8 +374,8 @@
         }
     }
 
-    /// Carries out the commands of the core, and reads on where a request waited for the answer to the one before
-    /// it, until nothing is left of either.
+    /// Carries out the commands of the core and handles buffered requests that waited for an earlier reply, until
+    /// neither is left.
     fn process_commands(&mut self, now: MonotonicTime) {
         loop {
             self.execute_commands(now);
@@ -394,7 +397,7 @@
                 Command::AbandonAttempt { connection, attempt, call_id } => {
                     self.abandon_attempt(now, connection, attempt, &call_id);
                 }
-                // Those that came in one turn were taken before any of them was answered.
+                // The capacity check is repeated: requests of one iteration are all admitted before any is answered.
                 Command::ReplyFromCache(reply_to, hit)
                     if !self.ensure_answer_capacity(now, hit.object.bytes.len()) =>
                 {
--- a/gateway/src/net/operators.rs
+++ b/gateway/src/net/operators.rs
@@ -1,4 +1,4 @@
-//! What operators request: the admin socket and the console.
+//! Requests of operators: the admin socket and the console.
 use super::poll_key::PollKey;
 use super::Gateway;
 use crate::admin::{AcceptedClient, Admin, AdminError, ClientState};
@@ -19,19 +19,19 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// What an operator's call comes to.
+/// When an operator's call is answered.
 enum OperatorAnswer {
-    /// It is answered at once.
+    /// At once, with this reply.
     Immediate(Reply),
-    /// It is answered once a file is durable.
+    /// Once this file is durable.
     WhenDurable(EjectionCall, DurableFile),
 }
 
-/// The time after which the console's address, where it is not free, is tried again.
+/// Delay before binding the console's address is retried.
 const CONSOLE_BIND_BACKOFF: Duration = Duration::from_millis(100);
-/// The time after which the admin socket is opened again where this machine was short of something for it.
+/// Delay before opening the admin socket is retried after a local shortage.
 const ADMIN_SHORTAGE_BACKOFF: Duration = Duration::from_millis(50);
-/// The time after which the path of the admin socket, where it is not free, is tried again.
+/// Delay before opening the admin socket is retried while another process of the gateway uses its path.
 const ADMIN_BIND_BACKOFF: Duration = Duration::from_secs(1);
 
 impl Gateway {
@@ -50,7 +50,7 @@
         });
         match opened {
             Ok(admin) => self.admin = Some(admin),
-            // Operators lose sight, clients lose nothing.
+            // The gateway runs without the admin socket: only operators' reports are missing.
             Err(error) => {
                 error!("{error}");
                 let retry_at = error.is_local_shortage().then_some(now + ADMIN_SHORTAGE_BACKOFF);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Accepts a client of the admin socket; the oldest one makes way where there are too many.
+    /// Accepts a client of the admin socket; at the connection limit, the oldest one is evicted.
     pub(super) fn accept_admin_client(&mut self, now: MonotonicTime) {
         let Some(admin) = &mut self.admin else { return };
         let AcceptedClient { place, stream, evicted } = match admin.accept(now) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Answers a client of the admin socket, or writes on.
+    /// Answers a client of the admin socket, or continues to write its reply.
     pub(super) fn serve_admin_client(&mut self, now: MonotonicTime, place: usize) {
         let Some(admin) = &mut self.admin else { return };
         let is_writing = match admin.handle_ready(place) {
@@ -93,7 +93,7 @@
             }
             Some(ClientState::Reading) => false,
             Some(ClientState::Writing) => true,
-            // One that is closed is no longer polled; there is nothing to do about an error here.
+            // The socket is closed and so no longer polled; an error has no effect.
             Some(ClientState::Closed(stream)) => return drop(self.poller.delete(&stream)),
             None => return,
         };
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Listens where operators call, as soon as that address is free, and looks at callers whose time has come.
+    /// Opens the console's listener as soon as its address can be bound, and handles the time-outs of its callers.
     pub(super) fn check_console(&mut self, now: MonotonicTime) {
         let mut retry_at = None;
         match (&mut self.console, self.console_address) {
@@ -134,7 +134,7 @@
             }
             (None, None) => {}
         }
-        // The operators' socket of the process before may stand until that one ends.
+        // During an upgrade, the old process may hold the path of the admin socket until it exits.
         if self.console.is_some() && self.admin.is_none() && self.processes.process_count() > 1 {
             self.configure_admin(now);
             let is_wanted = self.membership.as_ref().and_then(Membership::admin_socket).is_some();
@@ -143,14 +143,14 @@
         self.schedule_console(retry_at);
     }
 
-    /// Sets when the console acts next: when its address is tried again, or a caller is to be looked at.
+    /// Schedules the console's next deadline: a retry of its address, or a caller's time-out.
     pub(super) fn schedule_console(&mut self, retry_at: Option<MonotonicTime>) {
         let callers = self.console.as_ref().and_then(Console::next_due);
         let next_due = retry_at.into_iter().chain(callers).min();
         self.core.deadlines.reschedule(&mut self.console_deadline, next_due, DeadlineKind::Console);
     }
 
-    /// Accepts callers of the console; the oldest one makes way where there are too many.
+    /// Accepts callers of the console; at the connection limit, the oldest one is evicted.
     pub(super) fn accept_console_caller(&mut self, now: MonotonicTime) {
         while let Some(console) = &mut self.console {
             let AcceptedCaller { place, stream, evicted } = match console.accept(now) {
@@ -170,7 +170,7 @@
         self.schedule_console(None);
     }
 
-    /// Reads the call of an operator and answers it, at once or once a file is durable.
+    /// Reads an operator's call and answers it, at once or when a file is durable.
     pub(super) fn serve_console_caller(&mut self, now: MonotonicTime, place: usize) {
         let mut state = self.console.as_mut().and_then(|c| c.handle_ready(now, place));
         if let Some(CallerState::Called(call)) = state {
@@ -187,10 +187,10 @@
         self.schedule_console(None);
     }
 
-    /// Polls a caller of the console for what it waits for now, or not any more.
+    /// Updates the events that a caller of the console is polled for, or stops polling it.
     pub(super) fn apply_console_state(&mut self, place: usize, state: CallerState) {
         match state {
-            // One that is closed is no longer polled; there is nothing to do about an error here.
+            // The socket is closed and so no longer polled; an error has no effect.
             CallerState::Closed(stream) => drop(self.poller.delete(&stream)),
             CallerState::Reading => self.poll_console_caller(place, true, false),
             CallerState::Writing => self.poll_console_caller(place, true, true),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Sets for what a caller of the console is polled.
+    /// Sets the events that a caller of the console is polled for.
     fn poll_console_caller(&mut self, place: usize, readable: bool, writable: bool) {
         let Some(stream) = self.console.as_ref().and_then(|c| c.stream(place)) else { return };
         let interest = Event { key: PollKey::ConsoleClient(place).into(), readable, writable };
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Carries out an operator's call.
+    /// Handles an operator's call.
     fn answer_operator(&mut self, now: MonotonicTime, call: Call) -> OperatorAnswer {
         OperatorAnswer::Immediate(match call {
             Call::Readiness if self.is_stopping() => {
@@ -237,7 +237,7 @@
         })
     }
 
-    /// Ejects a store or restores it, as an operator called for.
+    /// Ejects or restores a store at an operator's request.
     fn eject_store(&mut self, now: MonotonicTime, store: String, action: EjectionAction) -> OperatorAnswer {
         let input = manual_ejection::Input::OperatorRequest { store: store.clone(), action };
         let outcome = self.apply_ejection_input(now, input).unwrap_or(EjectionOutcome::UnknownStore);
@@ -252,7 +252,7 @@
         }
     }
 
-    /// The values of the report of figures that are measured when it is asked for.
+    /// The gauges of the statistics report, measured now.
     fn gauges(&self, now: MonotonicTime) -> Gauges {
         let skipped: BTreeSet<ServerId> = self
             .manual_ejections
--- a/gateway/src/net/platform_clients.rs
+++ b/gateway/src/net/platform_clients.rs
@@ -7,7 +7,7 @@
 use larchway::MonotonicTime;
 
 impl Gateway {
-    /// Takes one message off the input of a client's connection. Returns how many bytes it took; 0 if it is incomplete.
+    /// Handles the first message of a client's input. Returns its length in bytes; 0 if it is incomplete.
     pub(super) fn handle_platform_input(
         &mut self,
         now: MonotonicTime,
@@ -53,7 +53,7 @@
             return;
         };
         match admitted {
-            // Its final reply may be among the commands already; then the entry goes with it.
+            // Its final reply may be queued as a command already; sending that removes the entry again.
             Some(request) => session.admitted(sequence, request),
             None => {
                 session.reject_duplicate(sequence, &call_id, &mut output.bytes);
--- a/gateway/src/net/poll_key.rs
+++ b/gateway/src/net/poll_key.rs
@@ -1,46 +1,46 @@
-//! The keys under which sources of events are registered with the poller, and their numbers there.
+//! The poll keys of all event sources, and their numbers in the poller.
 use crate::slots::SlotKey;
 use crate::{admin, console, upgrade};
 
-/// What an event of the poller is about.
+/// The source of an event of the poller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PollKey {
-    /// A connection in a numbered slot.
+    /// A connection, by its slot.
     Connection(SlotKey),
     /// A listener for clients.
     ClientListener(ClientListener),
-    /// SIGTERM or SIGINT has come.
+    /// The pipe of SIGTERM and SIGINT.
     StopSignal,
-    /// SIGHUP has come.
+    /// The pipe of SIGHUP.
     ReloadSignal,
     /// The listener of the admin socket.
     AdminListener,
-    /// A client of the admin socket, by its place.
+    /// A client of the admin socket, by its index.
     AdminClient(usize),
     /// The listener of the console.
     ConsoleListener,
-    /// A caller of the console, by its place.
+    /// A caller of the console, by its index.
     ConsoleClient(usize),
     /// The listener for the gateway's other processes.
     UpgradeListener,
-    /// Another process of the gateway, by its place.
+    /// Another process of the gateway, by its index.
     Process(usize),
-    /// Datagrams of the other gateways of the tier.
+    /// The socket for datagrams of the other gateways of the tier.
     PeerDatagrams,
-    /// The worker that saves files has finished one, or failed to.
+    /// The notifications of the worker that saves files: one is written or has failed.
     SaveFinished,
 }
 
-/// Which front a listener takes clients in for.
+/// The front that a listener belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientListener {
     /// The platform's front.
     Platform,
-    /// The front of signed URLs.
+    /// The front for signed links.
     Signed,
 }
 
-// The poller reserves `usize::MAX`. Slots are numbered from 0, so the numbers below it are free.
+// The poller reserves `usize::MAX`. Connections use the numbers from 0 up, so those just below it are free.
 const PLATFORM_LISTENER: usize = usize::MAX - 1;
 const STOP_SIGNAL: usize = PLATFORM_LISTENER - 1;
 const SIGNED_LISTENER: usize = STOP_SIGNAL - 1;
@@ -55,7 +55,7 @@
 const SAVE_FINISHED: usize = PEER_DATAGRAMS - 1;
 
 impl PollKey {
-    /// Whether its events go before all others: signals, and operators, who wait a second at most.
+    /// Whether its events are handled before all others: signals, and operators, who have a time-out of one second.
     pub fn is_urgent(self) -> bool {
         matches!(
             self,
--- a/gateway/src/net/processes.rs
+++ b/gateway/src/net/processes.rs
@@ -1,4 +1,4 @@
-//! The gateway's other processes during an upgrade: state handed over, and limits shared.
+//! The gateway's other processes during an upgrade: handover of state, and division of the limits.
 use super::poll_key::PollKey;
 use super::Gateway;
 use crate::clock;
@@ -13,7 +13,7 @@
 use tracing::{error, info};
 
 impl Gateway {
-    /// Finds the gateway's other processes. What they sent is taken in later, by [`Gateway::take_over_state`].
+    /// Finds the gateway's other processes. Returns their first frames, for [`Gateway::take_over_state`].
     pub(super) fn find_other_processes(&mut self, folder: &Path, name: &str) -> Vec<ReceivedFrame> {
         let Discovery { upgrade, saved_ejections, frames } = match Upgrade::discover(folder, name) {
             Ok(found) => found,
@@ -44,7 +44,8 @@
         frames
     }
 
-    /// Takes in what the others sent at the start: the one that serves knows most.
+    /// Handles the frames that the others sent at the start. Learned state is taken over from one process only: one
+    /// that is not stopping if there is one, since it knows most.
     pub(super) fn take_over_state(&mut self, now: MonotonicTime, frames: Vec<ReceivedFrame>) {
         let is_serving = |place: usize| {
             let mut own_frames = frames.iter().filter(|received| received.place == place);
@@ -72,7 +73,7 @@
         self.share_limits();
     }
 
-    /// Accepts other processes of the gateway and reads what they have sent.
+    /// Accepts connections of other processes of the gateway and reads their first frames.
     pub(super) fn accept_process(&mut self, now: MonotonicTime) {
         while let Some(upgrade) = &mut self.upgrade {
             let place = match upgrade.accept() {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Reads what another process of the gateway has sent.
+    /// Reads and handles the frames of another process of the gateway.
     pub(super) fn read_process(&mut self, now: MonotonicTime, place: usize) {
         let Some(upgrade) = &mut self.upgrade else { return };
         let ReadFrames { frames, state } = upgrade.read_frames(place);
@@ -100,7 +101,7 @@
         self.apply_process_change(place, state);
     }
 
-    /// Takes in one frame of another process of the gateway.
+    /// Handles one frame of another process of the gateway.
     pub(super) fn handle_frame(&mut self, now: MonotonicTime, place: usize, frame: Frame) {
         match frame {
             Frame::Hello { name } => {
@@ -127,13 +128,13 @@
                 self.core.record_peer_sends(now, &sent);
             }
             Frame::Status(status) => self.processes.update_status(place, status),
-            // It is asked for at the start alone.
+            // State is taken over at the start only.
             Frame::State(_) => {}
         }
     }
 
-    /// Sends the others what was sent to stores that warm up. Danger: two processes that each use the full budget
-    /// push a store over.
+    /// Reports to the other processes the work sent to warming stores: two processes that each use the full slow start
+    /// budget would overload a store.
     pub(super) fn send_slow_start_counts(&mut self, now: MonotonicTime) {
         let sent = self.core.sent_after(now, self.sent_work_reported_until);
         self.sent_work_reported_until = now;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Whether this process takes clients in, and whether it was signalled to stop.
+    /// The status of this process: whether it accepts clients, and whether it was signalled to stop.
     fn status(&self) -> Frame {
         Frame::Status(ProcessStatus {
             serving: self.platform_listener.is_some(),
@@ -170,11 +171,11 @@
         self.apply_process_change(place, state);
     }
 
-    /// Polls another process for what it waits for now, or forgets one that has ended.
+    /// Updates the events that another process is polled for, or removes one that has exited.
     fn apply_process_change(&mut self, place: usize, state: Option<ProcessState>) {
         match state {
             Some(ProcessState::Ended(stream)) => {
-                // One that is closed is no longer polled; there is nothing to do about an error here.
+                // The socket is closed and so no longer polled; an error has no effect.
                 let _ = self.poller.delete(&stream);
                 info!("another process of this gateway has ended");
                 self.processes.left(place);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Sets for what another process is polled.
+    /// Sets the events that another process is polled for.
     fn poll_process(&self, place: usize, interest: Event) {
         let stream = self.upgrade.as_ref().and_then(|upgrade| upgrade.stream(place));
         let polled = stream.map(|stream| self.poller.modify_with_mode(stream, interest, PollMode::Level));
--- a/gateway/src/net/signed_clients.rs
+++ b/gateway/src/net/signed_clients.rs
@@ -7,12 +7,12 @@
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// The shortest time after which a client of this front can be advised to retry, as the core is queried for it.
+/// The shortest Retry-After, passed to the core to query whether clients may be advised to retry at all.
 const SHORTEST_RETRY_AFTER: Duration = Duration::from_micros(1);
 
 impl Gateway {
-    /// Takes one request off the input of a client's connection. Returns how many bytes it took; 0 if it is
-    /// incomplete or waits for the reply to the one before.
+    /// Handles the first request of a client's input. Returns its length in bytes; 0 if it is incomplete or has to wait
+    /// for the reply to an earlier one.
     pub(super) fn handle_signed_input(&mut self, now: MonotonicTime, key: SlotKey, input: &[u8]) -> usize {
         let is_stopping = self.is_stopping();
         let Some(Connection { role: Role::SignedClient(session), output, .. }) =
@@ -44,7 +44,7 @@
         handled.used
     }
 
-    /// Has the core admit a request. Returns its key.
+    /// Submits a request to the core. Returns its key if it is admitted.
     fn admit_signed_request(
         &mut self,
         now: MonotonicTime,
@@ -81,7 +81,7 @@
         self.send_signed_reply(now, key, after);
     }
 
-    /// Gives the final reply to a request and lets the next one on the connection be handled.
+    /// Sends the final reply to a request and schedules the next request on the connection.
     pub(super) fn finish_signed_request(
         &mut self,
         now: MonotonicTime,
@@ -102,7 +102,7 @@
         self.resume(key);
     }
 
-    /// Sends a reply that is in the output; the connection is closed in order after the last one.
+    /// Sends the reply in the output; after the last reply, the connection is closed gracefully.
     fn send_signed_reply(&mut self, now: MonotonicTime, key: SlotKey, after: AfterReply) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         if after == AfterReply::Finish && conn.state == ConnectionState::Open {
--- a/gateway/src/net/startup.rs
+++ b/gateway/src/net/startup.rs
@@ -1,4 +1,5 @@
-//! The start of a process: reads the configuration, takes over what another process of the gateway knows, and listens.
+//! The start of a process: reads the configuration, takes over the state of another process of the gateway, and
+//! listens.
 use super::connections::LARGE_READ_BYTES;
 use super::errors::GatewayError;
 use super::poll_key::PollKey;
@@ -29,7 +30,7 @@
 use std::time::{Duration, Instant};
 
 impl Gateway {
-    /// Listens where the configuration says and takes in what it knows.
+    /// Starts a gateway: applies the configuration, takes over the state of another process, then opens the listeners.
     pub fn new(files: Files) -> Result<Self, GatewayError> {
         let start_until = Instant::now() + START_TIMEOUT;
         let file_set = retry_on_local_shortage(start_until, || files.read_set())?;
@@ -38,7 +39,8 @@
         let keys = SignalKeys { stop: PollKey::StopSignal.into(), reload: PollKey::ReloadSignal.into() };
         let signals = PolledSignals::open(keys, start_until)?;
         let mut gateway = Gateway::unconfigured(files, config.listen, config.seed, signals);
-        // Danger: gateways whose files have one seed would all take their turns at cold stores at once.
+        // The seed is mixed with the name: gateways with the same configured seed would otherwise send to warming
+        // stores at the same moments.
         gateway.core = Core::new(larchway::mix(config.seed ^ endpoint_id(&config.name)));
         gateway.remember_files(file_set);
         gateway.front = front;
@@ -47,10 +49,10 @@
         let name = config.name.clone();
         let needs_saver = shared_folder_path.is_some() || saves_roster(ensemble.as_ref());
         retry_on_local_shortage(start_until, || gateway.start_saver(needs_saver))?;
-        // What the other process knows comes before the first decision, and clients come when all is known.
+        // The other process's state is taken over before the first decision, and clients are accepted after that.
         let frames =
             shared_folder_path.map(|folder| gateway.find_other_processes(&folder, &name)).unwrap_or_default();
-        // The clock goes on where that of the other process is.
+        // Read after the discovery, which sets the clock to continue from that of the other process.
         let now = clock::now();
         gateway.events = Events::new(now, config.seed);
         gateway.configure_object_cache(&config, copies, events.is_some());
@@ -66,8 +68,8 @@
         Ok(gateway)
     }
 
-    /// A gateway that polls signals alone and knows no store yet. `platform_address`: where clients come in; `seed`: of
-    /// its random numbers.
+    /// A gateway that polls only signals and has no endpoints yet. `platform_address`: the address of the platform's
+    /// front; `seed`: the seed of its random numbers.
     fn unconfigured(files: Files, platform_address: SocketAddr, seed: u64, signals: PolledSignals) -> Self {
         Gateway {
             poller: signals.poller,
--- a/gateway/src/net/state_files.rs
+++ b/gateway/src/net/state_files.rs
@@ -1,4 +1,4 @@
-//! Files that a worker writes, and the operators' calls that are answered once such a file is durable.
+//! Files saved by the worker, and the operators' calls that are answered when such a file is durable.
 use super::errors::ConfigurationError;
 use super::poll_key::PollKey;
 use super::Gateway;
@@ -13,7 +13,7 @@
 use tracing::error;
 
 impl Gateway {
-    /// Leaves the caller at a place without an answer until what its call changed is durable.
+    /// Defers the reply to a caller of the console until the change that it requested is durable.
     pub(super) fn defer_answer(
         &mut self,
         now: MonotonicTime,
@@ -27,18 +27,18 @@
         Some(console::CallerState::Deferred)
     }
 
-    /// Answers the operators whose calls are durable or have waited long enough.
+    /// Answers the deferred calls whose files are durable or whose time-out has expired.
     pub(super) fn answer_deferred_calls(&mut self, now: MonotonicTime) {
         let ready = self.saver.as_mut().map(|saver| saver.ready_replies(now)).unwrap_or_default();
-        // Danger: without a caller there is nothing to look at anew, and an address of the console that was not free is
-        // tried again by the deadline that stands.
+        // Without a reply the console's deadline must not be rescheduled: that would cancel the pending retry of an
+        // address that could not be bound.
         if !ready.is_empty() {
             self.answer_calls(now, ready);
         }
         self.schedule_saver();
     }
 
-    /// Answers operators, as far as they are still there.
+    /// Sends replies to the callers that are still connected.
     fn answer_calls(&mut self, now: MonotonicTime, replies: Vec<ReadyReply>) {
         for ReadyReply { call, reply } in replies {
             let answered = self.console.as_mut().and_then(|c| c.answer_deferred(now, call, &reply));
@@ -49,13 +49,13 @@
         self.schedule_console(None);
     }
 
-    /// Sets when an operator is owed an answer.
+    /// Schedules the time-out of the deferred calls.
     fn schedule_saver(&mut self) {
         let due = self.saver.as_ref().and_then(StateSaver::next_due);
         self.core.deadlines.reschedule(&mut self.saver_deadline, due, DeadlineKind::DeferredReplies);
     }
 
-    /// Starts the worker that saves files, where one is needed and none runs.
+    /// Starts the worker that saves files, if it is needed and not running yet.
     pub(super) fn start_saver(&mut self, needed: bool) -> Result<(), ConfigurationError> {
         if !needed || self.saver.is_some() {
             return Ok(());
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// The worker that saves files has finished: operators who waited for it are answered.
+    /// Handles a notification of the worker: answers the operators whose files are durable now.
     pub(super) fn handle_finished_saves(&mut self, now: MonotonicTime) {
         if let Some(saver) = &self.saver {
             drain(saver.finished());
@@ -81,7 +81,7 @@
         self.answer_deferred_calls(now);
     }
 
-    /// Gives what is not durable a last moment.
+    /// Waits briefly for unsaved files at the end of the process, and logs how many could not be written.
     pub(super) fn finish_saves(&self) {
         let unsaved = self.saver.as_ref().map_or(0, StateSaver::finish);
         if unsaved > 0 {
@@ -89,14 +89,14 @@
         }
     }
 
-    /// Hands a file to the worker that saves files.
+    /// Passes a file's new content to the worker that saves files, if there is one.
     pub(super) fn save(&self, file: DurableFile, content: Vec<u8>) {
         if let Some(saver) = &self.saver {
             saver.save(file, content);
         }
     }
 
-    /// The file of the operators' ejection records while its newest content is not durable.
+    /// The file of the manual ejection records if its newest content is not durable yet.
     pub(super) fn unsaved_ejections(&self) -> Option<DurableFile> {
         let file = self.upgrade.as_ref()?.ejections_file();
         let durable = self.saver.as_ref()?.is_durable(file);
--- a/gateway/src/net/store_connections.rs
+++ b/gateway/src/net/store_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to stores: choosing one for an attempt, beginning one, and the end of one that is closed.
+//! Connections to stores: choosing one for an attempt, connecting, and ending the attempts of a closed one.
 use super::Gateway;
 use crate::connection::{ConnectFailure, Connection, Role};
 use crate::core::Command;
@@ -9,24 +9,25 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// Connections that each store may have however few descriptors there are.
+/// Connections that each store may have even when descriptors are scarce.
 const MIN_CONNECTIONS_PER_STORE: usize = 2;
-/// Connections that no store has more of.
+/// Maximum number of connections to one store.
 const MAX_CONNECTIONS_PER_STORE: usize = 128;
 
-/// Where an attempt is to be sent.
+/// The connection that an attempt is sent on.
 enum ConnectionChoice {
-    /// On a connection that there is.
+    /// On this open connection.
     Existing(SlotKey),
     /// On a new connection to this address.
     New(SocketAddr),
-    /// Nowhere: no address of the store is known.
+    /// None: no address of the store is known.
     NoAddress,
 }
 
 impl Gateway {
-    /// Finds an attempt a connection. An answer blocks those behind it on its connection, so each attempt gets
-    /// one of its own as far as the budget goes, unless handshakes have a price.
+    /// Assigns a connection to an attempt and sends it there. Replies on a connection can block those behind them, so
+    /// each attempt gets its own connection within the limits, unless the settings allow more attempts per connection
+    /// to save handshakes.
     pub(super) fn dispatch(&mut self, now: MonotonicTime, attempt: SlotKey) {
         let Some((server, call)) = self.core.target(attempt) else { return };
         let call = call.to_string();
@@ -51,8 +52,8 @@
         self.update_interest(key);
     }
 
-    /// The connection to a store with the least load, of those that are up first, or a new one where that is too much
-    /// and the limits allow it. One that has carried the same call is passed over.
+    /// Chooses the connection to a store with the fewest attempts, established ones preferred, or a new one if that has
+    /// too many and the limits allow one more. Connections that have carried the same call id are skipped.
     fn choose_connection(&self, server: ServerId, call: &str) -> ConnectionChoice {
         let Some(pool) = self.pools.get(&server) else { return ConnectionChoice::NoAddress };
         let Some(address) = pool.store.dial else { return ConnectionChoice::NoAddress };
@@ -64,7 +65,7 @@
             }
             _ => None,
         };
-        // The first one of several that are alike.
+        // The first one of several with equal load.
         let least_loaded = pool
             .links
             .iter()
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Begins a connection to a store and adds it to the store's pool.
+    /// Starts to connect to a store and adds the connection to the store's pool.
     fn connect_to_store(
         &mut self,
         now: MonotonicTime,
@@ -98,8 +99,8 @@
         Ok(key)
     }
 
-    /// Ends or postpones an attempt for which no connection could be begun. Danger: a shortage here, laid to the
-    /// stores, makes them all look gone and back, cold.
+    /// Ends or postpones an attempt for which connecting failed. A local shortage is not attributed to the store: all
+    /// stores would seem to be lost and then to return cold.
     fn handle_connect_failure(&mut self, now: MonotonicTime, attempt: SlotKey, failure: ConnectFailure) {
         let status = match failure {
             ConnectFailure::LocalShortage => {
@@ -113,7 +114,7 @@
         self.core.end_attempt(now, attempt, status, Note::None);
     }
 
-    /// Ends the attempts of a connection to a store that is closed. `was_connected`: whether it had come up.
+    /// Ends the attempts of a closed connection to a store. `was_connected`: whether it had been established.
     pub(super) fn end_store_connection(
         &mut self,
         now: MonotonicTime,
@@ -127,14 +128,14 @@
         }
         self.forget_removed_store(session.store);
         if !was_connected {
-            warn!(store = %format_args!("{:08x}", session.store), %reason, "no connection to a store");
+            warn!(store = %format_args!("{:08x}", session.store), %reason, "cannot connect to a store");
         }
-        // Only what had no byte written is sure not to have run.
+        // An attempt of which a byte was written may have been executed by the store.
         for (_, attempt) in session.open {
             self.core.end_attempt(now, attempt, Status::Reset, Note::None);
         }
-        // A connection that was up and broke before a byte was written says nothing of the store's health:
-        // what waited for it has not been sent and takes another.
+        // An established connection that closed before a byte of an attempt was written says nothing of the store's
+        // health: the unsent attempt uses another connection.
         for attempt in session.waiting {
             if was_connected && self.core.reconnect_once(attempt) {
                 self.core.commands.push_back(Command::SendAttempt(attempt));
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Forgets a store that is gone, once its last connection is.
+    /// Deletes a removed store once its last connection is closed.
     pub(super) fn forget_removed_store(&mut self, id: ServerId) {
         let is_gone = |p: &Pool| p.store.host.state == State::Removed && p.links.is_empty();
         if self.pools.get(&id).is_some_and(is_gone) {
--- a/gateway/src/net/store_traffic.rs
+++ b/gateway/src/net/store_traffic.rs
@@ -1,5 +1,4 @@
-//! Traffic on connections to stores: writing the attempts that wait, handling what stores reply, and abandoning
-//! attempts.
+//! Traffic on connections to stores: sending waiting attempts, handling replies, and abandoning attempts.
 use super::errors::CloseReason;
 use super::{Gateway, MAX_ITERATION_TIME};
 use crate::connection::{Buffer, Connection, Role, MAX_BACKLOG_BYTES, MAX_READS_FOR_HANGUP};
@@ -12,8 +11,8 @@
 use std::io::{self, Write};
 
 impl Gateway {
-    /// Probes a store for its load report on a connection that is free for it; where there is none, another gateway
-    /// does.
+    /// Requests a load report from a store on a connection without unsent output. If there is none, nothing is sent:
+    /// other gateways sample the store too.
     pub(super) fn request_load_report(&mut self, now: MonotonicTime, store: ServerId) {
         let links = self.pools.get(&store).map(|p| p.links.clone()).unwrap_or_default();
         let is_free = |key: &SlotKey| {
@@ -32,16 +31,16 @@
         self.flush(now, key);
     }
 
-    /// Whether the client of an attempt has closed its connection, which is ended then. Danger: its end may lie
-    /// among events that have not had their turn, or behind bytes that are not read, and an attempt must not begin.
+    /// Whether the client of an attempt has disconnected; if so, closes the connection. No attempt may begin for such a
+    /// client, and the disconnect may be in an event that is not handled yet, or behind bytes that are not read yet.
     fn has_client_left(&mut self, now: MonotonicTime, attempt: SlotKey) -> bool {
         let Some(client) = self.core.client_connection(attempt) else { return false };
         let Some(conn) = self.connections.get(client) else { return false };
         let has_left = match conn.polled_interest.readable {
-            // What came in this turn was read to its end.
+            // Everything was read in this iteration already.
             true if conn.fully_read && now < conn.last_read + MAX_ITERATION_TIME => false,
             true if conn.has_nothing_to_read() => false,
-            // Its end, or the message that cancels the request, may lie behind other messages.
+            // The end of the stream, or the cancellation of the request, may be behind other messages.
             true => self.reads_to_hangup(now, client),
             false => is_hung_up(&conn.stream),
         };
@@ -51,8 +50,8 @@
         has_left
     }
 
-    /// Reads all that has come from a client, and returns whether its end lies behind that. Danger: of one that has
-    /// sent more than is read at once, the end may still be on the other side, for want of room here.
+    /// Reads the available input of a client, and returns whether the client has disconnected behind it. Reads
+    /// repeatedly: while the receive buffer is full, the end of the stream cannot arrive.
     fn reads_to_hangup(&mut self, now: MonotonicTime, client: SlotKey) -> bool {
         for _ in 0..MAX_READS_FOR_HANGUP {
             self.read(now, client);
@@ -67,7 +66,7 @@
         false
     }
 
-    /// Writes the attempts that wait for a connection, each once all before it is written.
+    /// Sends the attempts that wait for a connection, each when the one before it is completely written.
     pub(super) fn send_waiting(&mut self, now: MonotonicTime, key: SlotKey) {
         loop {
             let Some(conn) = self
@@ -79,14 +78,14 @@
             };
             let Role::Store(session) = &mut conn.role else { return };
             let Some(attempt) = session.waiting.pop_front() else { return };
-            // Much may have happened while it waited.
+            // The request may have ended while the attempt waited.
             if self.has_client_left(now, attempt) || !self.core.may_begin(now, attempt) {
                 continue;
             }
             let Some(conn) = self.connections.get_mut(key) else { return };
             let Role::Store(session) = &mut conn.role else { return };
-            // Danger: what is written to a connection that the store has closed counts as having run, and a write then
-            // fails that never ran. Its end may be among the events that have not had their turn.
+            // The store may have closed the connection in an event that is not handled yet. Bytes written to it then
+            // count as executed, so a non-idempotent request that never ran would fail.
             if session.open.is_empty()
                 && self.core.has_side_effects(attempt)
                 && is_closed_by_peer(&conn.stream)
@@ -104,8 +103,8 @@
         }
     }
 
-    /// Writes an attempt to a connection with no output, as far as it goes. After an error no byte of it went out,
-    /// and it waits on.
+    /// Writes as much of an attempt as the socket accepts, on a connection without unsent output. After an error no
+    /// byte of it was sent, and it stays in the queue.
     fn write_attempt(&mut self, now: MonotonicTime, key: SlotKey, attempt: SlotKey) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(key) else { return Ok(()) };
         let Role::Store(session) = &mut conn.role else { return Ok(()) };
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Takes one reply off the input of a connection to a store. Returns how many bytes it took; 0 if it is incomplete.
+    /// Handles the first reply of a store's input. Returns its length in bytes; 0 if it is incomplete.
     pub(super) fn handle_store_input(
         &mut self,
         now: MonotonicTime,
@@ -159,7 +158,7 @@
         Ok(handled.used)
     }
 
-    /// Ends an attempt whose store has replied, and passes the reply on if it is the final one.
+    /// Ends an attempt with its store's reply, and forwards the reply to the client if it is the final one.
     fn end_replied_attempt(&mut self, now: MonotonicTime, attempt_reply: AttemptReply<'_>) {
         let AttemptReply { attempt, status, load, reply } = attempt_reply;
         if status == Status::Ok && !reply.not_modified {
--- a/gateway/src/net/tier_peers.rs
+++ b/gateway/src/net/tier_peers.rs
@@ -12,7 +12,7 @@
 use tracing::error;
 
 impl Gateway {
-    /// Configures the exchange between gateways by its files; without any it ends.
+    /// Configures the exchange between gateways; ends it if no settings are left.
     pub(super) fn configure_tier_peers(
         &mut self,
         now: MonotonicTime,
@@ -26,7 +26,7 @@
         }
         let socket_change = match &mut self.peers {
             peers if peer_settings.is_disabled() => {
-                // The socket is dropped with it, and then no longer polled.
+                // This drops the socket, which ends polling.
                 *peers = None;
                 SocketChange::Unchanged
             }
@@ -45,7 +45,7 @@
 
     /// Polls the socket on which datagrams of the other gateways of the tier arrive.
     fn listen_to_peers(&mut self) {
-        // A socket that is dropped is no longer polled.
+        // The former socket was dropped, which ended polling.
         if let Some(socket) = self.peers.as_ref().and_then(Peers::socket) {
             let added = self.poller.add_with_mode(
                 socket,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Passes the caches of the own location that are up to the load sharing.
+    /// Passes the caches of this location that are up to load sharing.
     pub(super) fn update_tier_stores(&mut self, now: MonotonicTime) {
         if let Some(peers) = &mut self.peers {
             let is_local_cache = |p: &&Pool| {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Schedules the next tick of the exchange.
+    /// Schedules the next deadline of the exchange.
     fn schedule_peers(&mut self) {
         let next_due = self.peers.as_ref().and_then(Peers::next_due);
         self.core.deadlines.reschedule(&mut self.peers_deadline, next_due, DeadlineKind::Peers);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Passes the load reports of stores to the load sharing.
+    /// Passes the load reports of stores to load sharing.
     pub(super) fn pass_load_reports(&mut self, now: MonotonicTime) {
         for LoadReport { store, load } in std::mem::take(&mut self.core.load_reports) {
             self.peers.iter_mut().for_each(|peers| peers.record_load(now, store, load));
@@ -115,7 +115,7 @@
     }
 
     /// Divides the slow start budgets by the leased quotas or the number of live gateways; a zone for which neither is
-    /// known has its configured number.
+    /// known keeps its configured number.
     pub(super) fn update_gateway_count(&mut self) {
         self.settings.shares = self.peers.as_ref().and_then(Peers::quotas);
         let mut settings = self.settings.clone();
