--- a/gateway/src/connection.rs
+++ b/gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of the daemon: their buffers, what each is for, and how far it has come.
+//! Connections of the gateway: buffers, role, state and time-outs.
 use crate::resp;
 use crate::signed;
 use crate::sockets;
@@ -7,41 +7,41 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The time after which a client that reads nothing of its answers is cut off.
+/// Time after which a client that does not read its replies is disconnected.
 pub(crate) const UNREAD_ANSWERS_TIMEOUT: Duration = Duration::from_secs(10);
-/// The time after which a client that asks for nothing is cut off.
+/// Time after which a client without requests is disconnected.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The time in which a client's message must be complete, the first one from when it connected.
+/// Time within which a client's message must be complete; for the first one it starts at the connect.
 pub(crate) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time for which a connection lingers after its last answer.
+/// How long a half-closed connection waits for the peer to close it.
 pub(crate) const LINGER: Duration = Duration::from_secs(1);
-/// Bytes waiting for a client of the front for signed links above which nothing more is read from it.
+/// Unsent output or unprocessed input, in bytes, above which a client of the front for signed links is not read from.
 pub(crate) const MAX_BACKLOG_BYTES: usize = 1 << 20;
-/// Bytes read from one connection before others get their turn.
+/// Maximum number of bytes read from one connection per event, so that other connections are not delayed.
 pub(crate) const MAX_BYTES_PER_ITERATION: usize = 512 * 1024;
-/// Readings of a client in a row that look for its end: as much as the kernel buffers of one connection at most.
+/// Maximum number of consecutive reads that look for a client's disconnect: enough for the kernel buffers of a
+/// connection.
 pub(crate) const MAX_READS_FOR_HANGUP: usize = 16;
 
-/// Consumed bytes above which a buffer is compacted.
+/// Number of consumed bytes above which a buffer is compacted.
 const COMPACTION_THRESHOLD_BYTES: usize = 64 * 1024;
 
-/// Bytes on their way in or out.
+/// An input or output buffer.
 #[derive(Default)]
 pub struct Buffer {
-    /// The bytes, those that are consumed in front.
+    /// The bytes; consumed ones come first.
     pub bytes: Vec<u8>,
-    /// How many are consumed.
+    /// Number of consumed bytes.
     pub consumed: usize,
 }
 
 impl Buffer {
-    /// The bytes that are not consumed.
+    /// The bytes that are not consumed yet.
     pub fn remaining(&self) -> &[u8] {
         &self.bytes[self.consumed..]
     }
 
-    /// Consumes so many bytes; a buffer that is empty gives its memory back, so that a quiet connection costs next to
-    /// nothing.
+    /// Consumes `count` bytes. An empty buffer frees its memory, so that an idle connection needs almost none.
     pub fn consume(&mut self, count: usize) {
         self.consumed += count;
         if self.consumed >= self.bytes.len() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Gives the memory of consumed bytes back once they are many.
+    /// Removes consumed bytes if there are more than [`COMPACTION_THRESHOLD_BYTES`].
     pub(crate) fn compact(&mut self) {
         if self.consumed > COMPACTION_THRESHOLD_BYTES {
             self.bytes.drain(..self.consumed);
@@ -58,7 +58,7 @@
     }
 }
 
-/// What a connection is for.
+/// The role of a connection, with the state of its protocol.
 pub enum Role {
     /// A client of the platform's front.
     PlatformClient(thrift::Session),
@@ -66,19 +66,19 @@
     SignedClient(signed::Session),
     /// A connection to a store.
     Store(resp::Session),
-    /// The source of events.
+    /// The connection to the source of events.
     Events,
-    /// A server of the ensemble.
+    /// The connection to a server of the ensemble.
     Ensemble,
 }
 
 impl Role {
-    /// Whether a client is at the other end.
+    /// Whether the peer is a client.
     pub(crate) fn is_client(&self) -> bool {
         matches!(self, Role::PlatformClient(_) | Role::SignedClient(_))
     }
 
-    /// Whether a client is at the other end that waits for no reply.
+    /// Whether the peer is a client that waits for no reply.
     pub(crate) fn is_client_without_requests(&self) -> bool {
         match self {
             Role::PlatformClient(session) => !session.has_open_requests(),
@@ -88,58 +88,58 @@
     }
 }
 
-/// Why a connect could not be begun.
+/// Why connecting could not be started.
 pub(crate) enum ConnectFailure {
-    /// This machine is short of something for it, which says nothing of the other side.
+    /// This machine lacks a resource, which says nothing about the peer.
     LocalShortage,
-    /// The other side cannot be reached.
+    /// The peer cannot be reached.
     Unreachable,
 }
 
-/// How far a connection has come.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// It is being dialled.
+    /// The connection is being established.
     Connecting,
-    /// Bytes go both ways.
+    /// The connection is established.
     Open,
-    /// It is half-closed once all that is written has gone out; what comes in is passed over.
+    /// The connection is half-closed once its output is sent; input is discarded.
     Finishing,
-    /// Its write side is shut: no answer could be delivered. What comes in is read and passed over, since a close over
-    /// unread bytes would reset what is still on its way, until the other side has closed or this time has come.
+    /// The write side is shut, so nothing can be sent any more. Input is read and discarded until the peer closes or a
+    /// time-out expires: closing with unread input would reset the connection and lose replies in transit.
     HalfClosed {
-        /// When it is closed all the same.
+        /// When the connection is closed even if the peer has not closed it.
         until: MonotonicTime,
     },
 }
 
 impl ConnectionState {
-    /// Whether it is up, in any way.
+    /// Whether the connection has been established.
     pub(crate) fn is_connected(self) -> bool {
         self != ConnectionState::Connecting
     }
 
-    /// Whether what comes in is passed over.
+    /// Whether input is discarded.
     pub(crate) fn ignores_input(self) -> bool {
         matches!(self, ConnectionState::Finishing | ConnectionState::HalfClosed { .. })
     }
 }
 
-/// What a connection is polled for.
+/// The events that a connection is polled for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Interest {
-    /// Whether it is polled for reading.
+    /// Polled for readability.
     pub(crate) readable: bool,
-    /// Whether it is polled for writing.
+    /// Polled for writability.
     pub(crate) writable: bool,
 }
 
-/// How long connections to stores, to the ensemble and to the source of events may take.
+/// Time-outs of connections to stores, to the ensemble and to the source of events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Timeouts {
-    /// To be established.
+    /// Time to establish the connection.
     pub(crate) connect: Duration,
-    /// Without a byte until the other side closes them.
+    /// Time without a byte after which the peer closes the connection.
     pub(crate) idle: Duration,
 }
 
@@ -147,34 +147,34 @@
 pub struct Connection {
     pub(crate) stream: TcpStream,
     pub(crate) input: Buffer,
-    /// What is to be written.
+    /// Output that is still to be written.
     pub output: Buffer,
-    /// What it is for.
+    /// The role of the connection.
     pub role: Role,
-    /// How far it has come.
+    /// The state of the connection.
     pub state: ConnectionState,
-    /// When it was accepted or begun to be dialled.
+    /// When it was accepted, or connecting was started.
     pub(crate) opened_at: MonotonicTime,
-    /// When bytes last moved on it.
+    /// When bytes were last read or written.
     pub last_activity: MonotonicTime,
-    /// When bytes last came in, or began to be awaited.
+    /// When bytes were last read, or when waiting for a reply began.
     pub last_read: MonotonicTime,
-    /// Whether its last reading took in all that had come.
+    /// Whether the last read left nothing unread.
     pub(crate) fully_read: bool,
-    /// Whether a complete message has come in on it.
+    /// Whether a complete message was received.
     pub(crate) has_requested: bool,
-    /// When the first byte came of a message that is not complete.
+    /// When the first byte of an incomplete message was received.
     pub(crate) incomplete_since: Option<MonotonicTime>,
-    /// What it is polled for.
+    /// The events that it is polled for.
     pub(crate) polled_interest: Interest,
-    /// When it is looked at next, unless something moves on it.
+    /// When its time-outs are checked next.
     pub(crate) deadline: MonotonicTime,
-    /// Bytes that count among those of all clients.
+    /// Buffered bytes that are included in the count of all clients.
     pub(crate) counted_bytes: usize,
 }
 
 impl Connection {
-    /// Whether a client is at the other end that is owed nothing and has asked for nothing that was read.
+    /// Whether the peer is a client without open requests, unsent replies or an incomplete message.
     pub(crate) fn is_idle(&self) -> bool {
         self.role.is_client_without_requests()
             && self.state == ConnectionState::Open
@@ -182,14 +182,14 @@
             && self.incomplete_since.is_none()
     }
 
-    /// When it is to be ended unless something moves on it.
+    /// When the connection times out unless there is activity on it.
     pub(crate) fn timeout_at(&self, now: MonotonicTime, timeouts: Timeouts) -> MonotonicTime {
         let unsent_bytes = !self.output.remaining().is_empty();
         match &self.role {
             _ if matches!(self.state, ConnectionState::HalfClosed { .. }) => self.deadline,
             _ if !self.state.is_connected() => self.opened_at + timeouts.connect,
             role if role.is_client() && unsent_bytes => self.last_activity + UNREAD_ANSWERS_TIMEOUT,
-            // Danger: what it asked for before is still owed; a message that does not go on ends nothing of that.
+            // A stalled message does not time out while requests are open, since closing would lose their replies.
             Role::PlatformClient(session)
                 if self.incomplete_since.is_some() && session.has_open_requests() =>
             {
@@ -200,26 +200,26 @@
             }
             Role::PlatformClient(_) if !self.has_requested => self.opened_at + MESSAGE_TIMEOUT,
             Role::SignedClient(_) if !self.has_requested => self.opened_at + signed::REQUEST_TIMEOUT,
-            // A reply that stops halfway holds up all that are behind it.
+            // A stalled reply blocks all replies behind it.
             Role::Store(_) if self.incomplete_since.is_some() => self.last_read + resp::STALLED_REPLY_TIMEOUT,
-            // A request that comes byte by byte is cut off however lively it looks.
+            // Timed from the first byte: a request that is sent byte by byte has to time out despite its activity.
             Role::SignedClient(session) if session.incomplete_since().is_some() => {
                 session.incomplete_since().unwrap_or(now) + signed::REQUEST_TIMEOUT
             }
             role if role.is_client_without_requests() => self.last_activity + IDLE_TIMEOUT,
             role if role.is_client() => now + IDLE_TIMEOUT,
-            // Closed well before the store does: a request that crosses a close is lost time.
+            // Closed well before the store closes it: a request sent at that moment would fail and waste time.
             Role::Store(session) if session.is_idle() => self.last_activity + timeouts.idle / 2,
             _ => now + timeouts.idle / 2,
         }
     }
 
-    /// What it is to be polled for; `max_unsent_bytes`: bytes that may wait for a client before it is not read from.
+    /// The events to poll for. `max_unsent_bytes`: unsent output above which a client is not read from.
     pub(crate) fn interest(&self, max_unsent_bytes: usize) -> Interest {
         let unsent_bytes = self.output.remaining().len();
-        // A client of the front for signed links that reads no replies, or sends on and on before one, is not read
-        // from. One of the platform's is, unless memory is scarce: its requests are taken once they are written, and
-        // would be late unread. They are few, and so are their answers.
+        // A client of the front for signed links that does not read its replies, or that pipelines too much, is not
+        // read from. A platform client is read from unless memory is scarce: the time-outs of its requests run from
+        // when it writes them, so unread ones would be late. There are few such clients and replies.
         let is_backlogged = match self.role {
             Role::SignedClient(_) => unsent_bytes.max(self.input.remaining().len()) > max_unsent_bytes,
             Role::PlatformClient(_) => {
@@ -227,7 +227,7 @@
             }
             Role::Store(_) | Role::Events | Role::Ensemble => false,
         };
-        // An attempt whose first byte found no room waits for the connection to be writable too.
+        // An attempt whose first write would have blocked also waits for the connection to be writable.
         let has_waiting = matches!(&self.role, Role::Store(session) if !session.waiting.is_empty());
         Interest {
             readable: !is_backlogged,
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Whether nothing waits to be read, not even the end.
+    /// Whether there is nothing to read, not even the end of the stream.
     pub(crate) fn has_nothing_to_read(&self) -> bool {
         sockets::has_nothing_to_read(&self.stream)
     }
--- a/gateway/src/deadlines.rs
+++ b/gateway/src/deadlines.rs
@@ -1,52 +1,52 @@
-//! All deadlines of an event loop, ordered by time.
+//! The deadlines of an event loop, ordered by time.
 use crate::slots::SlotKey;
 use larchway::MonotonicTime;
 use std::collections::BTreeSet;
 
-/// What is due at a deadline.
+/// What has to be done when a deadline expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeadlineKind {
-    /// A request must have its final answer.
+    /// Send the final reply to a request.
     Request(SlotKey),
-    /// An attempt is to be abandoned.
+    /// Abandon an attempt.
     Attempt(SlotKey),
-    /// An attempt for which this machine lacked a resource to connect is to be sent again.
+    /// Retry to connect for an attempt after a local shortage.
     Dispatch(SlotKey),
-    /// The decision module is to be called, with this mark of its own.
+    /// Call the decision module with this mark, which the module chose.
     Module(u64),
-    /// A timeout of a connection: to be established, to be idle or to make progress.
+    /// Check the time-outs of a connection: for connecting, for progress and for idleness.
     Connection(SlotKey),
-    /// The source of events has been silent, or it is time to dial it.
+    /// Handle the silence of the source of events, or connect to it.
     Events,
-    /// A request for events for which this machine lacked a resource to connect is made again.
+    /// Retry to connect to the source of events after a local shortage.
     EventsConnect,
-    /// A connect to the ensemble for which this machine lacked a resource is made again.
+    /// Retry to connect to the ensemble after a local shortage.
     EnsembleConnect,
-    /// The admin socket for which this machine lacked a resource is opened again.
+    /// Retry to open the admin socket after a local shortage.
     Admin,
-    /// A reload for whose listeners this machine lacked a resource is tried again.
+    /// Retry a reload after a local shortage.
     Reload,
-    /// Documents for which this machine lacked a resource are tried again.
+    /// Try the remaining documents, or retry documents after a local shortage.
     Documents,
-    /// Membership: the session's next call or ping, or the state of a store that time alone may change.
+    /// Membership: send the session's next request or ping, or expire the state of a store.
     Membership,
-    /// The hierarchy: the next step of a migration.
+    /// Hierarchy: take the next step of a migration.
     Hierarchy,
-    /// A timeout of a caller of the console, or its address is to be tried again.
+    /// Handle a time-out of a caller of the console, or retry to bind the console's address.
     Console,
-    /// A manual ejection that another process reported expires.
+    /// Expire a manual ejection that another process reported.
     ManualEjection,
-    /// An operator must be answered although what the call changed is not durable.
+    /// Answer an operator's call although its change is not durable yet.
     DeferredReplies,
-    /// The cluster's view of the stores' load: decide, and notify peers.
+    /// Exchange with the other gateways: decide on load sharing and send gossip.
     Peers,
-    /// Clients may be accepted again: there may be a descriptor for them.
+    /// Resume accepting clients after a shortage of descriptors.
     Accept,
-    /// The time for accepting after SIGTERM is over.
+    /// Stop accepting clients: the grace period after SIGTERM is over.
     StopAccepting,
 }
 
-/// A deadline. Those of the same time are ordered by what is due.
+/// A deadline. Deadlines at the same time are ordered by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     due_at: MonotonicTime,
@@ -68,7 +68,7 @@
         self.0.remove(&Deadline { due_at, due });
     }
 
-    /// Sets, moves or cancels a deadline whose time the caller stores in `current`, so that it is due at `wanted`.
+    /// Sets, moves or cancels the deadline whose time the caller stores in `current`, so that it expires at `wanted`.
     pub fn reschedule(
         &mut self,
         current: &mut Option<MonotonicTime>,
@@ -91,7 +91,7 @@
         self.0.first().map(|deadline| deadline.due_at)
     }
 
-    /// Removes the earliest deadline if it has come.
+    /// Removes and returns the earliest deadline if it has expired.
     pub fn pop(&mut self, now: MonotonicTime) -> Option<DeadlineKind> {
         if self.next()? > now {
             return None;
--- a/gateway/src/descriptors.rs
+++ b/gateway/src/descriptors.rs
@@ -1,35 +1,38 @@
-//! How the limit on file descriptors is shared. Danger: where idle clients or connections to stores may take the last
-//! one, the bulletin cannot be read any more, operators get no answer, and a new configuration cannot be read.
+//! Divides the limit on file descriptors by use. If idle clients or connections to stores could take the last
+//! descriptor, the gateway could not connect to the source of events, answer operators or read a new configuration.
 use crate::console::MAX_CALLERS;
 
-/// Descriptors that neither clients nor stores may take: standard streams, poller and its timer, listeners, signals,
-/// bulletin, ensemble, datagrams, the gateway's other processes, and a file that is being read. The worker that writes
-/// files (a pair of sockets and the file) fits in as long as there are no more than four other processes.
+/// Descriptors reserved for other uses than clients and stores: standard streams, the poller and its timer, listeners,
+/// signals, the source of events, the ensemble, datagrams, the gateway's other processes, and a file that is being
+/// read. They include the worker that writes files (a socket pair and the file) if there are at most four other
+/// processes.
 const RESERVED_DESCRIPTORS: usize = 28;
-/// Descriptors of the limit for each caller of the console.
+/// Descriptors of the limit per allowed caller of the console.
 const DESCRIPTORS_PER_CALLER: usize = 24;
-/// Connections of clients and to stores together, at least, however low the limit.
+/// Minimum number of connections of clients and to stores together, however low the limit.
 const MIN_CONNECTIONS: usize = 8;
-/// The share of clients in these connections, in percent. Those of the platform take a third of the limit at most.
+/// Percentage of these connections for clients. It covers the platform's clients, which need at most a third of the
+/// limit.
 const CLIENTS_PERCENT: usize = 40;
-/// Of these connections, one in so many is for clients that are half-closed and not yet closed by the other side.
+/// One in this number of connections is for half-closed clients that have not closed their side yet.
 const CONNECTIONS_PER_HALF_CLOSED: usize = 16;
 
-/// The limit on descriptors of this process by their use; the sum is no higher than the limit.
+/// Limits on this process's descriptors by use. With the reserved ones they add up to at most the process's limit,
+/// unless that is too low for the minimum number of connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DescriptorLimits {
-    /// Connections of clients.
+    /// Maximum number of client connections that are not half-closed.
     pub clients: usize,
-    /// Connections of clients that only wait to be closed by the other side.
+    /// Maximum number of half-closed client connections.
     pub half_closed_clients: usize,
-    /// Connections to stores.
+    /// Maximum number of connections to stores.
     pub store_connections: usize,
-    /// Callers of the console.
+    /// Maximum number of callers of the console.
     pub console_callers: usize,
 }
 
 impl DescriptorLimits {
-    /// Shares out the limit on the descriptors of a process.
+    /// Divides the limit on a process's descriptors.
     pub fn share(limit: usize) -> Self {
         let console_callers = (limit / DESCRIPTORS_PER_CALLER).clamp(1, MAX_CALLERS);
         let connections = limit.saturating_sub(RESERVED_DESCRIPTORS + console_callers).max(MIN_CONNECTIONS);
--- a/gateway/src/nonblocking.rs
+++ b/gateway/src/nonblocking.rs
@@ -1,16 +1,16 @@
-//! Reads and writes on streams that never block, with the errors that mean "later" separated from those that end the
+//! Reads and writes on nonblocking streams, which separate the errors that call for a retry from those that end the
 //! connection.
 use crate::system_errors::{uninterrupted, Failure};
 use std::io::{self, ErrorKind, Read, Write};
 
-/// What came of a read.
+/// The outcome of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// So many bytes, at least one.
+    /// This number of bytes was read; at least one.
     Received(usize),
-    /// Nothing for now: the poller reports when to read again.
+    /// No bytes are available: the poller reports when to read again.
     NotReady,
-    /// The other side sends nothing more.
+    /// The end of the stream: the peer sends no more bytes.
     Ended,
 }
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// Writes as many of these bytes as the stream takes now, and returns how many that were. Where it is fewer than all, the
-/// poller reports when to go on. An error ends the connection.
+/// Writes as many bytes as the stream accepts now and returns their number. If not all were written, the poller reports
+/// when to continue. An error ends the connection.
 pub fn write_available(mut stream: impl Write, bytes: &[u8]) -> io::Result<usize> {
     let mut written = 0;
     while written < bytes.len() {
--- a/gateway/src/polled_signals.rs
+++ b/gateway/src/polled_signals.rs
@@ -1,4 +1,4 @@
-//! The poller of an event loop, and the pipes by which signals reach it.
+//! The poller of an event loop, with pipes that signals write to.
 use crate::event_loop_error::EventLoopError;
 use crate::sockets::signal_pipe;
 use crate::system_errors::retry_on_local_shortage;
@@ -7,12 +7,12 @@
 use std::os::unix::net::UnixStream;
 use std::time::Instant;
 
-/// The keys of the pipes at the poller.
+/// The poll keys of the pipes.
 #[derive(Debug, Clone, Copy)]
 pub struct SignalKeys {
-    /// SIGTERM and SIGINT.
+    /// The key of the pipe for SIGTERM and SIGINT.
     pub stop: usize,
-    /// SIGHUP.
+    /// The key of the pipe for SIGHUP.
     pub reload: usize,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl PolledSignals {
-    /// Opens all three. While this machine is short of something, that is tried again until a time has come.
+    /// Opens the poller and both pipes. Local shortages are retried until the time `until`.
     pub fn open(keys: SignalKeys, until: Instant) -> Result<PolledSignals, EventLoopError> {
         let poller = retry_on_local_shortage(until, Poller::new).map_err(EventLoopError::Poll)?;
         let pipe =
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -2,21 +2,21 @@
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// The time for which requests are still accepted after SIGTERM: the platform sends new ones for up to 0.6 s more.
+/// How long requests are still accepted after SIGTERM: the platform sends new ones for up to 0.6 s more.
 pub const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(700);
 
 /// The state of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Shutdown {
-    /// The process serves.
+    /// No signal to stop was received.
     #[default]
     Serving,
-    /// It was signalled to stop, and still accepts connections and requests.
+    /// A signal to stop was received; connections and requests are still accepted.
     Accepting {
         /// When the first signal came.
         signalled_at: MonotonicTime,
     },
-    /// It does not listen any more. Each client's connection is half-closed once nothing is open on it.
+    /// The listeners are closed. Each client connection is half-closed once it has no open request.
     Closing {
         /// When the first signal came.
         signalled_at: MonotonicTime,
@@ -26,20 +26,20 @@
 /// Whether another process of the gateway accepts clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Successor {
-    /// There is none, or it is not ready.
+    /// There is no such process, or it is not ready.
     Absent,
-    /// It accepts clients.
+    /// Another process accepts clients.
     Accepting,
 }
 
 /// The effect of a signal to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopEffect {
-    /// It is the first one: requests are still accepted for [`ACCEPT_GRACE_PERIOD`].
+    /// Requests are still accepted for [`ACCEPT_GRACE_PERIOD`].
     Accepting,
-    /// Another process accepts clients: this one stops listening at once.
+    /// This process stops listening at once, since another one accepts clients.
     Closing,
-    /// It has no effect.
+    /// The signal has no effect.
     Ignored,
 }
 
@@ -48,7 +48,7 @@
     pub fn handle_signal(&mut self, now: MonotonicTime, successor: Successor) -> StopEffect {
         let signalled_at = match *self {
             Shutdown::Serving => now,
-            // A successor that came up meanwhile takes over at a second signal.
+            // A successor that became ready after the first signal takes over at the second one.
             Shutdown::Accepting { signalled_at } if successor == Successor::Accepting => signalled_at,
             Shutdown::Accepting { .. } | Shutdown::Closing { .. } => return StopEffect::Ignored,
         };
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Handles the passage of time. Returns whether the process has to stop listening now.
+    /// Handles an expired deadline. Returns whether the process has to stop listening now.
     pub fn tick(&mut self, now: MonotonicTime) -> bool {
         match *self {
             Shutdown::Accepting { signalled_at } if now >= signalled_at + ACCEPT_GRACE_PERIOD => {
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Whether SIGTERM has come.
+    /// Whether a signal to stop was received.
     pub fn is_signalled(self) -> bool {
         self != Shutdown::Serving
     }
 
-    /// Whether no client is accepted any more.
+    /// Whether the process no longer accepts clients.
     pub fn is_closing(self) -> bool {
         matches!(self, Shutdown::Closing { .. })
     }
--- a/gateway/src/slots.rs
+++ b/gateway/src/slots.rs
@@ -1,5 +1,5 @@
-//! Tables of numbered slots. A key names a slot and its generation, so that a late key does not find the next entry of
-//! its slot.
+//! Tables of numbered slots. A key consists of the slot's index and its generation, so that a stale key does not find a
+//! later entry in the same slot.
 
 /// The bits of a key above the index of its slot.
 const GENERATION_SHIFT: u32 = 32;
@@ -8,7 +8,7 @@
 /// Generations wrap around here, so that the highest bit of a key stays free.
 const GENERATION_MASK: u32 = 0x7fff_ffff;
 
-/// Names an entry: the index of its slot in the lower bits, the generation above.
+/// The key of an entry: the index of its slot in the lower 32 bits, the generation in the bits above.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SlotKey(pub u64);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A slot: how often it was filled, and its entry.
+/// A slot: its generation, incremented with each insertion, and its entry.
 struct Slot<T> {
     generation: u32,
     entry: Option<T>,
@@ -48,7 +48,7 @@
 }
 
 impl<T> Slots<T> {
-    /// Puts an entry into a free slot.
+    /// Inserts an entry into a free slot and returns its key.
     pub fn insert(&mut self, entry: T) -> SlotKey {
         self.len += 1;
         let index = self.free.pop().unwrap_or_else(|| {
@@ -61,7 +61,7 @@
         SlotKey::new(index, slot.generation)
     }
 
-    /// The slot of a key, unless it was filled again since.
+    /// The slot of a key; none if the slot has been reused.
     fn slot(&self, key: SlotKey) -> Option<&Slot<T>> {
         self.slots.get(key.index()).filter(|slot| u64::from(slot.generation) == key.generation())
     }
@@ -70,17 +70,17 @@
         self.slots.get_mut(key.index()).filter(|slot| u64::from(slot.generation) == key.generation())
     }
 
-    /// The entry, if it is still there.
+    /// The entry of a key, if it has not been removed.
     pub fn get(&self, key: SlotKey) -> Option<&T> {
         self.slot(key)?.entry.as_ref()
     }
 
-    /// The entry, to be changed.
+    /// The entry of a key, mutable.
     pub fn get_mut(&mut self, key: SlotKey) -> Option<&mut T> {
         self.slot_mut(key)?.entry.as_mut()
     }
 
-    /// Removes the entry and frees its slot.
+    /// Removes the entry of a key and frees its slot.
     pub fn remove(&mut self, key: SlotKey) -> Option<T> {
         let entry = self.slot_mut(key)?.entry.take()?;
         self.free.push(key.index());
@@ -93,12 +93,12 @@
         self.len
     }
 
-    /// Whether there are none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// All entries, to be changed.
+    /// All entries, mutable.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.slots.iter_mut().filter_map(|slot| slot.entry.as_mut())
     }
--- a/gateway/src/sockets.rs
+++ b/gateway/src/sockets.rs
@@ -10,24 +10,24 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// For how long a start waits for an address that another process still holds, or for what this machine is short of: the
-/// platform counts a process that takes over 30 s to be ready as failed.
+/// How long a start waits for an address that another process still holds, or for a local shortage to end. The platform
+/// considers a process failed that is not ready within 30 s.
 pub const START_TIMEOUT: Duration = Duration::from_secs(25);
-/// How often a start tries for an address.
+/// Interval at which a start retries to bind an address.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why an address is not listened on.
+/// Why a listener could not be opened.
 #[derive(Debug, Error)]
 pub enum ListenError {
-    /// There is no socket for it, or the address is not to be had.
+    /// The socket could not be opened, or the address could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Open {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The listener cannot be polled.
+    /// The listener could not be registered with the poller.
     #[error("cannot poll: {0}")]
     Poll(#[source] io::Error),
     /// The process was signalled to stop while it waited for the address.
@@ -44,9 +44,9 @@
     }
 }
 
-/// Why signals cannot be received.
+/// The pipe for signals could not be set up.
 #[derive(Debug, Error)]
-#[error("cannot take signals: {0}")]
+#[error("cannot receive signals: {0}")]
 pub struct SignalPipeError(#[from] io::Error);
 
 impl SystemCallError for SignalPipeError {
@@ -55,8 +55,9 @@
     }
 }
 
-/// What came of taking a connection in: none waits, or the one that did has gone. An error says that there is no
-/// descriptor for it. Danger: it stays in the queue then, and the poller reports it again at once, for ever.
+/// Converts the result of accept(2): none if no connection is waiting or the waiting one was aborted. An error means
+/// that no descriptor is left; the caller has to stop polling the listener for a while, since the connection stays in
+/// the queue and the poller reports it again and again.
 pub fn accept_outcome<T>(result: io::Result<T>) -> io::Result<Option<T>> {
     match result {
         Ok(accepted) => Ok(Some(accepted)),
@@ -65,7 +66,7 @@
     }
 }
 
-/// Whether the other side has closed a connection, as far as has come in; what lies unread before its end is none.
+/// Whether the peer has closed a connection and no unread bytes come before the end of the stream.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     match uninterrupted(|| stream.peek(&mut [0])) {
         Ok(count) => count == 0,
@@ -73,12 +74,12 @@
     }
 }
 
-/// Whether nothing waits to be read, not even the end.
+/// Whether there is nothing to read on a connection, not even the end of the stream.
 pub fn has_nothing_to_read(stream: &TcpStream) -> bool {
     uninterrupted(|| stream.peek(&mut [0])).is_err_and(|error| Failure::of(&error).is_retried_when_ready())
 }
 
-/// The same for a connection that is not read from: its end may lie behind bytes that stay where they are.
+/// Whether the peer has closed or reset a connection, even if unread bytes come before the end of the stream.
 pub fn is_hung_up(stream: &TcpStream) -> bool {
     let end_flags = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut polled_sockets = [PollFd::new(stream, end_flags)];
@@ -86,8 +87,8 @@
     polled.is_ok_and(|count| count > 0) && polled_sockets[0].revents().intersects(end_flags)
 }
 
-/// Begins to connect without blocking; that it is made, or why not, is known once the stream is writable. An error is
-/// one of this machine ([`Failure::LocalShortage`]) or a refusal known at once.
+/// Starts to connect without blocking; the outcome is known when the stream is writable. An error is a local one
+/// ([`Failure::LocalShortage`]) or an immediate refusal.
 pub fn begin_connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -98,7 +99,8 @@
     }
 }
 
-/// Listens at an address; `shared`: with the gateway's other processes, which must request it too.
+/// Opens a listener at an address. `shared`: the gateway's other processes may listen there too (`SO_REUSEPORT`); they
+/// must set it as well.
 fn listen(address: SocketAddr, shared: bool) -> Result<TcpListener, ListenError> {
     let open = || -> io::Result<TcpListener> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
@@ -114,14 +116,14 @@
     open().map_err(|source| ListenError::Open { address, source })
 }
 
-/// A pipe that these signals write to, polled under a key.
+/// Opens a pipe that these signals write to, and polls it under a key.
 pub fn signal_pipe(poller: &Poller, signals: &[i32], key: usize) -> Result<UnixStream, SignalPipeError> {
     let open = || -> io::Result<UnixStream> {
         let (receiver, sender) = UnixStream::pair()?;
         receiver.set_nonblocking(true)?;
         let senders = signals.iter().map(|_| sender.try_clone()).collect::<io::Result<Vec<_>>>()?;
         poller.add_with_mode(&receiver, Event::readable(key), PollMode::Level)?;
-        // Last, since what is registered stays: a pipe that fails for a moment is opened again.
+        // Registered last: handlers cannot be removed, and the caller retries if an earlier step fails.
         for (&signal, sender) in signals.iter().zip(senders) {
             signal_hook::low_level::pipe::register(signal, sender)?;
         }
@@ -130,7 +132,7 @@
     Ok(open()?)
 }
 
-/// Empties such a pipe, and returns how many signals were written to it.
+/// Reads all bytes of a signal pipe and returns their number, which is the number of signals.
 pub fn drain(mut receiver: &UnixStream) -> u64 {
     let (mut bytes, mut total) = ([0; 64], 0);
     while let Ok(count @ 1..) = uninterrupted(|| receiver.read(&mut bytes)) {
@@ -139,7 +141,7 @@
     total
 }
 
-/// Listens at an address and polls it under a key.
+/// Opens a listener at an address and polls it under a key.
 pub fn listen_and_poll(
     poller: &Poller,
     address: SocketAddr,
@@ -154,8 +156,8 @@
     added.map(|()| listener).map_err(ListenError::Poll)
 }
 
-/// The same at a start: the process before may still hold the address while it ends, or this machine may be short of
-/// something for a moment. `stop`: SIGTERM writes there.
+/// Opens and polls a listener at the start of a process. Retries for up to [`START_TIMEOUT`], since the former process
+/// may still hold the address, or a local shortage may end. `stop`: the pipe of SIGTERM, which ends the wait.
 pub fn listen_and_poll_at_start(
     poller: &Poller,
     address: SocketAddr,
--- a/gateway/src/system_errors.rs
+++ b/gateway/src/system_errors.rs
@@ -1,39 +1,40 @@
-//! What the errors of system calls mean for what is done next: accept(2), connect(2), socket(2), recv(2), send(2),
-//! poll(2), epoll_wait(2), unlink(2) and pthread_create(3) of Linux. The one place that knows error numbers.
+//! Classifies the errors of Linux system calls by how the caller has to react: accept(2), connect(2), socket(2),
+//! recv(2), send(2), poll(2), epoll_wait(2), unlink(2) and pthread_create(3). Error numbers are used only here.
 use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The time after which a call that failed by a [`Failure::LocalShortage`] is made again, the first time and at most.
+/// Shortest backoff after a [`Failure::LocalShortage`].
 const MIN_BACKOFF: Duration = Duration::from_millis(2);
+/// Longest backoff after a [`Failure::LocalShortage`].
 const MAX_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What the error of a system call says.
+/// The meaning of a system call's error for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// A signal came in between: the call is made again at once.
+    /// A signal interrupted the call: retry at once.
     Interrupted,
-    /// Nothing is ready: the poller reports when to make the call again.
+    /// The call would block: retry when the poller reports readiness.
     NotReady,
-    /// What was begun goes on without the caller.
+    /// The operation continues in the background.
     InProgress,
-    /// This machine lacks descriptors, memory, ports or a route, which says nothing of the other side: the call is
-    /// made again after a backoff.
+    /// This machine lacks descriptors, memory, ports or a route, which says nothing about the peer: retry after a
+    /// backoff.
     LocalShortage,
-    /// The other side has nobody there.
+    /// Nothing listens at the peer's address.
     Refused,
-    /// The connection is over, or what it runs through: it is as failed as one that was reset.
+    /// The connection, or the network path to the peer, is broken; handled like a reset.
     ConnectionOver,
-    /// The address is held by another socket.
+    /// Another socket uses the address.
     AddressInUse,
-    /// There is no such file.
+    /// The file does not exist.
     NotFound,
-    /// Anything else; to make the call again does not help.
+    /// Any other error; a retry does not help.
     Permanent,
 }
 
 impl Failure {
-    /// What the error of a call says, other than connect.
+    /// Classifies the error of any call except connect(2) and pthread_create(3).
     pub fn of(error: &io::Error) -> Failure {
         match error.raw_os_error().map(Errno::from_raw_os_error) {
             Some(Errno::INTR) => Failure::Interrupted,
@@ -67,9 +68,9 @@
         }
     }
 
-    /// What the error of a connect says, where some numbers mean something else: no port is free (`EAGAIN`,
-    /// `EADDRINUSE`), this machine has no route or no network (`ENETUNREACH`, `ENETDOWN`), and one that was
-    /// interrupted goes on (`EINTR`).
+    /// Classifies the error of connect(2), for which some numbers have another meaning: no local port is free
+    /// (`EAGAIN`, `EADDRINUSE`), this machine has no route or no network (`ENETUNREACH`, `ENETDOWN`), or connecting
+    /// continues after an interruption (`EINTR`).
     pub fn of_connect(error: &io::Error) -> Failure {
         match Failure::of(error) {
             Failure::Interrupted => Failure::InProgress,
@@ -79,8 +80,8 @@
         }
     }
 
-    /// What the error of starting a thread says: pthread_create(3) returns `EAGAIN` where this machine has no memory for
-    /// one more, or as many as it may have.
+    /// Classifies the error of starting a thread: pthread_create(3) returns `EAGAIN` if memory or the limit on threads
+    /// is exhausted.
     pub fn of_thread_start(error: &io::Error) -> Failure {
         match Failure::of(error) {
             Failure::NotReady => Failure::LocalShortage,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Whether a read or write is made again once the poller reports the connection again.
+    /// Whether a failed read or write is to be retried when the poller reports the connection again.
     pub fn is_retried_when_ready(self) -> bool {
         matches!(self, Failure::NotReady | Failure::LocalShortage)
     }
@@ -99,12 +100,12 @@
     matches!(number, Some(Errno::NETUNREACH | Errno::NETDOWN))
 }
 
-/// Whether the other side has reset a connection, which was up before.
+/// Whether the error is a reset by the peer, which implies that the connection was established.
 pub fn is_reset(error: &io::Error) -> bool {
     error.raw_os_error().map(Errno::from_raw_os_error) == Some(Errno::CONNRESET)
 }
 
-/// Makes a call again for as long as signals interrupt it.
+/// Repeats a call while signals interrupt it.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -114,12 +115,12 @@
     }
 }
 
-/// An error that may come of a system call.
+/// An error that may be caused by a system call.
 pub trait SystemCallError {
-    /// What the system call's error says; [`Failure::Permanent`] where no system call is behind the error.
+    /// The class of the system call's error; [`Failure::Permanent`] if no system call caused it.
     fn failure(&self) -> Failure;
 
-    /// Whether this machine was short of something, so that the same may succeed a moment later.
+    /// Whether this machine lacked a resource, so that a retry may succeed a moment later.
     fn is_local_shortage(&self) -> bool {
         self.failure() == Failure::LocalShortage
     }
@@ -131,8 +132,8 @@
     }
 }
 
-/// Does something again for as long as this machine is short of something, each time after a backoff, until a time has
-/// come. It blocks, so it is for what is done before the event loop runs.
+/// Repeats an operation while it fails because of a local shortage, with a backoff, until the time `until`. Blocks, so
+/// it must not be used while the event loop runs.
 pub fn retry_on_local_shortage<T, E: SystemCallError>(
     until: Instant,
     mut attempt: impl FnMut() -> Result<T, E>,
@@ -149,13 +150,13 @@
     }
 }
 
-/// Whether a call on a path failed because nothing is there.
+/// Whether a call failed because the path does not exist.
 pub fn is_not_found(error: &io::Error) -> bool {
     Failure::of(error) == Failure::NotFound
 }
 
-/// The time until a call is made again that failed by a [`Failure::LocalShortage`]: as long again as it has waited, so that
-/// the pauses double.
+/// The pause before the next retry after a [`Failure::LocalShortage`]. It equals the time waited so far, so that the
+/// total doubles with each retry, within `MIN_BACKOFF` and `MAX_BACKOFF`.
 pub fn backoff(waited: Duration) -> Duration {
     waited.clamp(MIN_BACKOFF, MAX_BACKOFF)
 }
