--- a/gateway/src/resp/array.rs
+++ b/gateway/src/resp/array.rs
@@ -1,25 +1,25 @@
 //! RESP arrays of bulk strings, and the lists of fields in them.
 use super::error::ProtocolError;
 
-/// Bytes of a string at most: a complete object and its fields.
+/// Maximum length of a string in bytes: enough for a complete object.
 pub const MAX_STRING_BYTES: usize = 300_000;
-/// Strings of an array at most.
+/// Maximum number of strings in an array.
 const MAX_ARRAY_LENGTH: usize = 16;
-/// Bytes of a line with a length at most.
+/// Maximum length in bytes of a line that states a length.
 const MAX_LINE_BYTES: usize = 16;
-/// What each line and each string ends in.
+/// The end of each line and each string.
 const LINE_END: &[u8] = b"\r\n";
 
 /// An array, as slices of the read buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Array<'a> {
-    /// Its strings.
+    /// The strings of the array.
     pub strings: Vec<&'a [u8]>,
-    /// Its length in bytes.
+    /// The length of the encoded array in bytes.
     pub length: usize,
 }
 
-/// One line `Xnnn\r\n`: its number and the place after it.
+/// Decodes a line `Xnnn\r\n` with the prefix X: its number, and the offset after it; none if it is incomplete.
 fn decode_length_line(
     input: &[u8],
     start: usize,
@@ -42,7 +42,7 @@
     Ok(Some((number, start + end + 1)))
 }
 
-/// Takes a complete array off the front of the input.
+/// Decodes the array at the start of the input; none if it is incomplete.
 pub fn decode_array(input: &[u8]) -> Result<Option<Array<'_>>, ProtocolError> {
     let Some((count, mut position)) = decode_length_line(input, 0, b'*')? else { return Ok(None) };
     if !(1..=MAX_ARRAY_LENGTH).contains(&count) {
--- a/gateway/src/resp/error.rs
+++ b/gateway/src/resp/error.rs
@@ -1,64 +1,65 @@
-//! Errors of the wire to stores.
+//! Errors of the protocol with stores.
 use thiserror::Error;
 
-/// Why the bytes of a store cannot be understood. Nothing that follows on the connection can be trusted either.
+/// A violation of the protocol by a store. The connection has to be closed, since what follows cannot be trusted
+/// either.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// A line begins with another character than the one that announces its length.
-    #[error("{found:?} where {expected:?} is due")]
+    /// A line does not start with the expected type prefix.
+    #[error("found {found:?}, expected {expected:?}")]
     UnexpectedPrefix {
-        /// The character that is there.
+        /// The character found.
         found: char,
-        /// The character that must be there.
+        /// The expected prefix.
         expected: char,
     },
-    /// The line with a length does not end.
-    #[error("a length is too long")]
+    /// A line that states a length is too long.
+    #[error("a length has too many digits")]
     LengthTooLong,
-    /// The line with a length ends otherwise.
+    /// A line that states a length does not end in CR LF.
     #[error("a line does not end in CR LF")]
     LineWithoutEnd,
-    /// A length has other characters than digits.
+    /// A length is not a decimal number.
     #[error("a length is not a number")]
     LengthNotNumber,
-    /// An array has this many strings, which no message has.
-    #[error("an array of {0}")]
+    /// An array has this number of strings, which no message has.
+    #[error("an array of {0} strings")]
     ArrayLength(usize),
-    /// A string has this many bytes, which is too many.
-    #[error("a string of {0} bytes")]
+    /// A string has this number of bytes, which is above the limit.
+    #[error("a string of {0} bytes is too long")]
     StringTooLong(usize),
-    /// A string ends otherwise.
+    /// A string does not end in CR LF.
     #[error("a string does not end in CR LF")]
     StringWithoutEnd,
     /// The id, the status or the list of fields of a reply is too long.
-    #[error("a word is too long")]
+    #[error("an id, a status or a list of fields is too long")]
     TextTooLong,
-    /// The id, the status or the list of fields of a reply is not text.
-    #[error("a word is not UTF-8")]
+    /// The id, the status or the list of fields of a reply is not UTF-8.
+    #[error("an id, a status or a list of fields is not UTF-8")]
     NotUtf8,
-    /// A reply has this status, which is unknown.
-    #[error("the word {0:?}")]
+    /// A reply has this unknown status.
+    #[error("unknown status {0:?}")]
     UnknownStatus(String),
-    /// A reply of a status has another number of strings than it must have.
-    #[error("{status} in {length} words")]
+    /// A reply has a number of strings that does not fit its status.
+    #[error("a reply {status:?} of {length} strings")]
     ReplyLength {
         /// The status.
         status: String,
-        /// How many strings there are.
+        /// The number of strings.
         length: usize,
     },
-    /// The list of fields of a reply does not have its form, or a value that it cannot have.
-    #[error("its fields cannot be read")]
+    /// The list of fields of a reply is malformed or has an invalid value.
+    #[error("the list of fields of a reply is invalid")]
     InvalidFields,
-    /// A reply of a status has a body that it cannot have.
-    #[error("{status} with {bytes} bytes")]
+    /// A reply has a body that does not fit its status or is too long.
+    #[error("a reply {status:?} with a body of {bytes} bytes")]
     InvalidBody {
         /// The status.
         status: String,
-        /// Bytes of the body.
+        /// Length of the body in bytes.
         bytes: usize,
     },
-    /// A store says that the client's copy is current, and was offered none.
-    #[error("{0} is told that its copy holds, and has none")]
+    /// A store replies that the client's copy is current although the request, with this call id, offered none.
+    #[error("the reply to {0} is not modified, but no copy was offered")]
     NoCopyOffered(String),
 }
--- a/gateway/src/resp/mod.rs
+++ b/gateway/src/resp/mod.rs
@@ -1,6 +1,6 @@
-//! The wire to stores, parents and the origin: RESP arrays of bulk strings.
+//! The protocol with stores, parents and the origin: RESP arrays of bulk strings.
 //!
-//! [`Session`] is the state of one connection: the attempts that it carries, and what the replies on it mean.
+//! [`Session`] is the state of one connection: it tracks the attempts in flight and interprets the replies.
 mod array;
 mod error;
 mod reply;
--- a/gateway/src/resp/reply.rs
+++ b/gateway/src/resp/reply.rs
@@ -1,4 +1,4 @@
-//! Decoding of what stores reply.
+//! Decoding of the replies of stores.
 use super::array::{decode_array, field};
 use super::error::ProtocolError;
 use larchway::settings::span_of_millis;
@@ -6,14 +6,14 @@
 use larchway_unix_time::UnixMicros;
 use std::time::Duration;
 
-/// Bytes of an object at most.
+/// Maximum size of an object in bytes.
 const MAX_OBJECT_BYTES: usize = 240_000;
-/// Bytes of the id, the status and the list of fields of a reply at most.
+/// Maximum lengths of the id, the status and the list of fields of a reply, in bytes.
 const MAX_TEXT_BYTES: [usize; 3] = [64, 16, 2048];
-/// Strings of a reply with a body.
+/// Number of strings in a reply with a body.
 const REPLY_LENGTH: usize = 4;
 
-/// The names on this wire for how a request ended.
+/// The statuses of replies in this protocol.
 mod status_name {
     pub(super) const SERVED: &str = "ok";
     pub(super) const NOT_MODIFIED: &str = "current";
@@ -21,36 +21,36 @@
     pub(super) const FULL: &str = "refused";
     pub(super) const ERROR: &str = "error";
     pub(super) const NEVER_RAN: &str = "stale";
-    /// Of a probe (`ECHO`, `METER`).
+    /// Positive reply to a probe (`ECHO`, `METER`).
     pub(super) const PROBE_YES: &str = "yes";
-    /// Of a probe, too: a reply like any other, not a fault.
+    /// Negative reply to a probe: a regular reply, not an error.
     pub(super) const PROBE_NO: &str = "no";
 }
 
-/// What a store replied, as slices of the read buffer.
+/// A reply of a store, as slices of the read buffer.
 #[derive(Debug, PartialEq)]
 pub struct Reply<'a> {
-    /// The id of the request that it answers.
+    /// The call id of the request that it answers.
     pub id: &'a str,
-    /// How the attempt ended; none for the reply to a probe, which ends nothing.
+    /// The outcome of the attempt; none for the reply to a probe.
     pub status: Option<Status>,
     /// Whether the client's own copy is current.
     pub not_modified: bool,
-    /// How the reply came about.
+    /// How the store produced the reply.
     pub note: Note,
-    /// The store's load report, as it came.
+    /// The store's load report, not decoded; none if the reply has none.
     pub load_report: Option<&'a str>,
-    /// How long the store waited for its source, as it reported.
+    /// How long the store waited for its source; zero if it does not state that.
     pub source_wait: Duration,
-    /// The entity tag of the bytes.
+    /// The entity tag of the body, if the store states one.
     pub entity_tag: Option<&'a str>,
-    /// When the origin issued this copy; unset where that is not stated.
+    /// When the origin issued this copy; unset if the store does not state that.
     pub issued: UnixMicros,
-    /// The bytes.
+    /// The body.
     pub body: &'a [u8],
 }
 
-/// Takes a complete reply off the front of the input: the reply and its length in bytes.
+/// Decodes the reply at the start of the input: the reply and its length in bytes; none if it is incomplete.
 pub fn decode_reply(input: &[u8]) -> Result<Option<(Reply<'_>, usize)>, ProtocolError> {
     let Some(array) = decode_array(input)? else { return Ok(None) };
     let strings = &array.strings;
@@ -87,7 +87,7 @@
     Ok(Some((reply, array.length)))
 }
 
-/// How an attempt ended; none for the reply to a probe.
+/// Decodes the outcome of an attempt; none for the reply to a probe.
 fn decode_status(text: &str) -> Result<Option<Status>, ProtocolError> {
     Ok(match text {
         status_name::SERVED | status_name::NOT_MODIFIED => Some(Status::Ok),
@@ -116,7 +116,7 @@
     }
 }
 
-/// Whether a list of fields has its form, and each field that the gateway reads a value that it can have.
+/// Whether a list of fields is well-formed, and the numeric fields that the gateway uses have valid values.
 fn are_fields_valid(fields: &str) -> bool {
     let is_plain = |text: &str| text.bytes().all(|byte| byte.is_ascii_graphic());
     let is_valid = |field: &str| match field.split_once('=') {
@@ -127,8 +127,8 @@
     matches!(fields, "" | "-") || fields.split(',').all(is_valid)
 }
 
-/// The values of a load report `inflight:7;util:0.61` in the order of these names; one that is missing or no number is
-/// NaN, for whoever reads them to pass over.
+/// Decodes the values of a load report such as `inflight:7;util:0.61`, in the order of `names`. A missing or invalid
+/// value is NaN, which the caller has to skip.
 pub fn decode_load(report: &str, names: &[String]) -> Vec<f64> {
     let value = |name: &String| {
         let found = report.split(';').find_map(|entry| entry.split_once(':').filter(|(key, _)| key == name));
--- a/gateway/src/resp/request.rs
+++ b/gateway/src/resp/request.rs
@@ -1,26 +1,26 @@
-//! Encoding of what is sent to stores.
+//! Encoding of the messages to stores.
 use super::array::encode_array;
 use crate::core::StoreRequest;
 use crate::wire_settings::WireClass;
 
-/// Writes the request of an attempt; `classes`: the classes by slot.
+/// Encodes the request of an attempt; `classes`: the classes by slot.
 pub fn encode_request(output: &mut Vec<u8>, store_request: &StoreRequest<'_>, classes: &[WireClass]) {
     let request = store_request.request;
     let fields = encode_fields(store_request, classes);
     encode_array(output, &[b"PULL", request.call_id.as_bytes(), fields.as_bytes(), &request.body]);
 }
 
-/// Writes that the gateway has abandoned the attempt that was sent under an id.
+/// Encodes the cancellation of the request with this call id.
 pub fn encode_cancel(output: &mut Vec<u8>, call_id: &str) {
     encode_array(output, &[b"KILL", call_id.as_bytes()]);
 }
 
-/// Writes a probe that asks for a load report.
+/// Encodes a probe that requests a load report.
 pub fn encode_load_probe(output: &mut Vec<u8>, request_id: &str) {
     encode_array(output, &[b"METER", request_id.as_bytes()]);
 }
 
-/// The list of fields of a request, by their names on this wire.
+/// The list of fields of a request, under their names in this protocol.
 fn encode_fields(store_request: &StoreRequest<'_>, classes: &[WireClass]) -> String {
     let request = store_request.request;
     let class = classes.get(request.class).map_or("", |class| class.name.as_str());
@@ -44,7 +44,7 @@
         add("within", &store_request.max_age_ms.to_string());
     }
     if let Some(via) = &store_request.via {
-        // A list of fields has no room for commas and equals signs; names are plain.
+        // Values in a list of fields cannot contain commas and equals signs, so the trail's separators are replaced.
         add("via", &via.replace("; epoch=", "_").replace(", ", "|").replace([',', '=', ' ', ';'], "-"));
     }
     let flags = [
--- a/gateway/src/resp/session.rs
+++ b/gateway/src/resp/session.rs
@@ -1,5 +1,5 @@
-//! The session on a connection to a store: a state machine that knows which attempts the connection carries, is given
-//! the bytes that come in, and answers with what they mean. It knows no socket and does not decide on attempts.
+//! The session on a connection to a store: a state machine that tracks the attempts on the connection and interprets
+//! the received bytes. It does no I/O and does not decide on attempts.
 use super::error::ProtocolError;
 use super::reply::{decode_load, decode_reply, Reply};
 use super::request::encode_cancel;
@@ -8,11 +8,11 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Ids remembered of a connection, of which a further reply may come.
+/// Maximum number of finished call ids remembered per connection, to which late replies may arrive.
 const MAX_REMEMBERED_IDS: usize = 64;
-/// The time without a byte, while an attempt is in flight, from which a connection is in doubt.
+/// Time without received bytes after which a connection on which an attempt is abandoned is doubtful.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time without a byte after which a reply that has begun does not go on.
+/// Time without received bytes after which an incomplete reply is stalled and its connection is closed.
 pub const STALLED_REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a session needs to know of the gateway to handle a reply.
@@ -20,70 +20,71 @@
 pub struct Context<'a> {
     /// Names of the values in a store's load report.
     pub load_fields: &'a [String],
-    /// Whether the store of an attempt was informed of a copy that the client holds.
+    /// Whether the request of an attempt offered a copy that the client holds.
     pub is_copy_offered: &'a dyn Fn(SlotKey) -> bool,
 }
 
 /// The reply that ended an attempt.
 #[derive(Debug)]
 pub struct AttemptReply<'a> {
-    /// The attempt, which the connection no longer carries.
+    /// The attempt, which is removed from the session.
     pub attempt: SlotKey,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub status: Status,
-    /// The store's load, by the order of the names; empty if it reported none.
+    /// The store's load, in the order of [`Context::load_fields`]; empty if the reply has no load report.
     pub load: Vec<f64>,
     /// The reply.
     pub reply: Reply<'a>,
 }
 
-/// What a message of a store means.
+/// The interpretation of a store's message.
 #[derive(Debug)]
 pub enum StoreInput<'a> {
-    /// A probe was answered, with the store's load by the order of the names.
+    /// The reply to a probe, with the store's load in the order of [`Context::load_fields`].
     LoadReport(Vec<f64>),
-    /// An attempt has ended.
+    /// The reply that ends an attempt.
     Reply(AttemptReply<'a>),
-    /// Nothing: a second reply, one to what was never sent here, or one to a probe that reports no load.
+    /// A message without effect: a duplicate reply, a reply to an unknown id, or a probe reply without a load report.
     Ignored,
 }
 
 /// A message that was handled.
 #[derive(Debug)]
 pub struct Handled<'a> {
-    /// Bytes of the input that the message took.
+    /// Length of the message in bytes.
     pub used: usize,
-    /// What it means.
+    /// The interpretation of the message.
     pub input: StoreInput<'a>,
 }
 
-/// What is to become of a connection on which an attempt was abandoned.
+/// What the owner has to do with a connection after an attempt on it was abandoned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterAbandon {
-    /// It goes on.
+    /// Keep the connection open.
     Continue,
-    /// It carries nothing more and is in doubt: it is closed once what is in the output is sent.
+    /// Close the connection once the output is sent: it is doubtful and carries no more attempts.
     Close,
 }
 
-/// A connection to a store and what it carries.
+/// The state of a connection to a store.
 pub struct Session {
     /// The store.
     pub store: ServerId,
-    /// Attempts of which no byte is written.
+    /// Attempts of which no byte was written yet.
     pub waiting: VecDeque<SlotKey>,
-    /// Attempts written, by the id that they were sent under.
+    /// Attempts that were written, fully or in part, with their call ids.
     pub open: Vec<(String, SlotKey)>,
-    /// Ids answered or abandoned, of which a further reply may be on its way.
+    /// Call ids of answered or abandoned attempts, to which late replies may arrive.
     finished_ids: VecDeque<String>,
-    /// Whether an attempt was abandoned here of which nothing came: the next may be met by the same silence.
+    /// Whether an attempt was abandoned after the silence time-out and nothing was received since: further attempts may
+    /// get no reply either.
     pub is_doubtful: bool,
-    /// Whether a part of the last attempt is still to be written.
+    /// Whether the last attempt is only partly written.
     pub is_partly_written: bool,
 }
 
 impl Session {
-    /// A connection that carries nothing.
+    /// The session of a new connection, without attempts.
     pub fn new(store: ServerId) -> Self {
         Session {
             store,
@@ -95,24 +96,24 @@
         }
     }
 
-    /// Whether it carries no attempt.
+    /// Whether the connection carries no attempts.
     pub fn is_idle(&self) -> bool {
         self.open.is_empty() && self.waiting.is_empty()
     }
 
-    /// How many attempts it carries.
+    /// Number of attempts on the connection.
     pub fn attempt_count(&self) -> usize {
         self.open.len() + self.waiting.len()
     }
 
-    /// Whether an id is or was used here: a late or second reply to its first attempt must not pass for that to the
-    /// next.
+    /// Whether a call id is or was used on this connection. It must not be used again: a late or duplicate reply to the
+    /// first attempt would be mistaken for the reply to the next.
     pub fn has_used(&self, call_id: &str) -> bool {
         self.finished_ids.iter().any(|finished| finished == call_id)
             || self.open.iter().any(|(open, _)| open == call_id)
     }
 
-    /// Takes an attempt off the connection and remembers its id.
+    /// Removes a written attempt and remembers its call id.
     fn remove_open(&mut self, place: usize) -> SlotKey {
         let (call_id, attempt) = self.open.swap_remove(place);
         self.finished_ids.push_back(call_id);
@@ -122,7 +123,7 @@
         attempt
     }
 
-    /// Handles the first reply of the input, if it is complete.
+    /// Handles the first reply of the input; none if it is incomplete.
     pub fn handle<'a>(
         &mut self,
         input: &'a [u8],
@@ -143,7 +144,7 @@
         let Some(status) = reply.status else {
             return Ok(load.map_or(StoreInput::Ignored, StoreInput::LoadReport));
         };
-        // A second reply, or one to what was never sent here, says nothing of the others.
+        // A duplicate reply or one to an unknown id is ignored and does not affect the open attempts.
         let Some(place) = self.open.iter().position(|(call_id, _)| call_id == reply.id) else {
             return Ok(StoreInput::Ignored);
         };
@@ -155,8 +156,8 @@
         Ok(StoreInput::Reply(AttemptReply { attempt, status, load: load.unwrap_or_default(), reply }))
     }
 
-    /// Abandons an attempt: withdraws it if it waits, or appends its cancellation to the output. `silence`: the time
-    /// since bytes last came in. Returns nothing if there is nothing to send.
+    /// Abandons an attempt: removes it if it is unsent, otherwise appends its cancellation to the output. `silence`:
+    /// the time since bytes were last received. Returns none if there is nothing to send.
     pub fn abandon(
         &mut self,
         attempt: SlotKey,
@@ -167,7 +168,8 @@
         self.waiting.retain(|waiting| *waiting != attempt);
         let place = self.open.iter().position(|(_, open)| *open == attempt)?;
         self.remove_open(place);
-        // Danger: a connection whose replies never come looks the idlest of all and is chosen again and again.
+        // Marked as doubtful: a connection that never replies has the fewest attempts and would be chosen again and
+        // again.
         self.is_doubtful |= silence >= SILENCE_TIMEOUT;
         encode_cancel(output, call_id);
         Some(if self.is_doubtful && self.is_idle() { AfterAbandon::Close } else { AfterAbandon::Continue })
--- a/gateway/src/resp/session/tests.rs
+++ b/gateway/src/resp/session/tests.rs
@@ -59,7 +59,7 @@
     let text = reply("aa", "current", "-", b"");
     let mut session = session();
     let error = handle(&mut session, &text, false).expect_err("none was offered");
-    assert_eq!(error.to_string(), "aa is told that its copy holds, and has none");
+    assert_eq!(error.to_string(), "the reply to aa is not modified, but no copy was offered");
     assert_eq!(session.attempt_count(), 1);
     let Ok(StoreInput::Reply(ended)) = handle(&mut session, &text, true) else { panic!("no reply") };
     assert!(ended.reply.not_modified);
--- a/gateway/src/signed/admission.rs
+++ b/gateway/src/signed/admission.rs
@@ -1,17 +1,18 @@
-//! Whether a request may pass, by its signature or token.
+//! Admission of a request by its signature or token.
 use super::error::Denied;
 use super::http::Request;
 use super::settings::FrontSettings;
 use super::{link, token};
 
-/// Checks a request at this Unix second: by a token in the query, a token in a cookie, or a signature in the query.
+/// Checks a request by a token in the query, a token in a cookie, or a signature in the query. `second`: the current
+/// Unix time.
 pub(super) fn check(front: &FrontSettings, request: &Request<'_>, second: u64) -> Result<(), Denied> {
     let is_token =
         |field: &str| field.trim().split_once('=').is_some_and(|(name, _)| name == token::PARAMETER);
     let (tokens, rest): (Vec<&str>, Vec<&str>) =
         request.query.split('&').filter(|field| !field.is_empty()).partition(|field| is_token(field));
     let cookie = request.cookie.split(';').find(|field| is_token(field));
-    // A signature beside a cookie from an earlier visit is the newer one.
+    // A signature takes precedence over a cookie, which may remain from an earlier visit.
     let is_signed = rest.iter().any(|field| field.starts_with("Signature="));
     let token = match (tokens.as_slice(), cookie) {
         ([one], _) => Some(*one),
--- a/gateway/src/signed/arrivals.rs
+++ b/gateway/src/signed/arrivals.rs
@@ -1,25 +1,25 @@
-//! When the bytes of a connection arrived, so that a request that waits behind another one on it is timed from its own
-//! arrival.
+//! Arrival times of the bytes on a connection, so that a pipelined request is timed from its own arrival.
 use larchway::MonotonicTime;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The time within which bytes that come one after another count as one arrival, at the time of the first of them.
+/// Bytes that arrive within this interval are recorded as one arrival, at the time of the first of them.
 const COALESCE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Arrival times of the bytes that were read and not used, oldest first. Bounded by the bytes that are buffered, and
-/// by one entry in 10 ms for as long as a request waits.
+/// Arrival times of the buffered bytes, oldest first. The number of entries is limited by the number of buffered bytes
+/// and to one per `COALESCE_INTERVAL` for as long as a request waits.
 #[derive(Debug, Default)]
 pub struct Arrivals {
-    /// Bytes read and used in all.
+    /// Total number of bytes read.
     total_read: u64,
+    /// Total number of bytes consumed.
     total_used: u64,
-    /// How many bytes had been read after each arrival, and its time.
+    /// For each arrival, the total number of bytes read up to its end, and its time.
     arrivals: VecDeque<(u64, MonotonicTime)>,
 }
 
 impl Arrivals {
-    /// Bytes were read.
+    /// Records that bytes were read.
     pub fn record(&mut self, now: MonotonicTime, bytes: usize) {
         self.total_read += bytes as u64;
         match self.arrivals.back_mut() {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The oldest of these bytes that are left were used; returns when the last of them arrived.
+    /// Consumes the oldest buffered bytes and returns when the last of them arrived; none if that is not recorded.
     pub fn consume(&mut self, bytes: usize) -> Option<MonotonicTime> {
         self.total_used += bytes as u64;
         while self.arrivals.front().is_some_and(|(end, _)| *end < self.total_used) {
--- a/gateway/src/signed/error.rs
+++ b/gateway/src/signed/error.rs
@@ -1,40 +1,40 @@
-//! Errors of the front for signed links, with the statuses that clients receive for them.
+//! Errors of the front for signed links, with their HTTP statuses.
 use crate::json_fields::KeyError;
 use thiserror::Error;
 
-/// Why a request may not pass.
+/// Why a request's signature or token is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Denied {
-    /// Neither signature nor token.
+    /// The request has neither a signature nor a token.
     #[error("a signature or token is needed")]
     Unsigned,
-    /// A signature or token that cannot be read.
+    /// The signature or token cannot be parsed.
     #[error("the signature or token is malformed")]
     Malformed,
-    /// The signature does not hold.
+    /// The signature is invalid, or its key or algorithm is unknown.
     #[error("the signature does not hold")]
     InvalidSignature,
-    /// Its time is over.
+    /// The link or token has expired.
     #[error("the link has expired")]
     Expired,
-    /// Its time has not come.
+    /// The link or token is not valid yet.
     #[error("the link does not hold yet")]
     NotYetValid,
-    /// A claim that is not met, or not supported here.
+    /// A claim of the token is not satisfied or not supported.
     #[error("a claim of the token is not met")]
     UnsatisfiedClaim,
-    /// It is for another URI.
+    /// The token is for another URI.
     #[error("the token is for something else")]
     OtherUri,
 }
 
-/// Why a path names no object that may be requested.
+/// Why a path does not name an object that may be requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum PathError {
-    /// It does not have the form of a path, or names no class.
+    /// The path does not have the required form, or its class does not exist.
     #[error("there is nothing here")]
     NotFound,
-    /// Its class is not one that links may name.
+    /// Links are not allowed for the class.
     #[error("this class is not passed on by links")]
     ClassNotLinked,
 }
@@ -52,16 +52,16 @@
 /// Why a request for an object is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The path names no object.
+    /// The path does not name an object.
     #[error(transparent)]
     Path(#[from] PathError),
-    /// Its signature or token does not let it pass.
+    /// The signature or token is rejected.
     #[error(transparent)]
     Denied(#[from] Denied),
-    /// The gateway has no capacity for it.
+    /// The gateway has no capacity for the request.
     #[error("too much is under way")]
     NoCapacity,
-    /// It has passed this gateway before.
+    /// The request has passed this gateway before.
     #[error("the request has been here before")]
     Loop,
 }
@@ -78,7 +78,7 @@
     }
 }
 
-/// No key has the name that was asked for.
+/// There is no key of the requested name.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("there is no key {0:?}")]
 pub struct UnknownKey(pub String);
@@ -86,31 +86,31 @@
 /// Why no link or token is issued.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IssueError {
-    /// The order is not text.
+    /// The request body is not UTF-8.
     #[error("it is not UTF-8")]
     NotUtf8,
-    /// The order is text of another form.
+    /// The request body is not a JSON object.
     #[error("it is not a JSON object")]
     NotJsonObject,
-    /// The value of a key cannot be used.
+    /// A key of the JSON object has an invalid value.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// The order names no path.
+    /// The path is missing.
     #[error("path is missing")]
     PathMissing,
-    /// The path names no object.
+    /// The path does not name an object.
     #[error("path: {0}")]
     Path(#[from] PathError),
-    /// The link would be valid for longer than this many seconds, which is the most.
+    /// The requested lifetime exceeds this maximum, in seconds.
     #[error("expires_in is {0} at most")]
     LifetimeTooLong(u64),
-    /// Links are for other methods.
+    /// The method is not one that links can be issued for.
     #[error("method must be GET or HEAD")]
     Method,
-    /// No key has the name that the order gives.
+    /// There is no signing key of the requested name.
     #[error(transparent)]
     UnknownKey(#[from] UnknownKey),
-    /// The order is for something else.
+    /// The requested kind is neither a link nor a token.
     #[error("kind: {0:?} is neither url nor token")]
     Kind(String),
 }
--- a/gateway/src/signed/http.rs
+++ b/gateway/src/signed/http.rs
@@ -1,14 +1,14 @@
-//! The HTTP/1.1 that the front for signed links speaks: decoding of requests, encoding of responses.
+//! HTTP/1.1 for the front for signed links: decoding of requests and encoding of responses.
 use crate::clock;
 use thiserror::Error;
 
-/// Bytes of a head at most.
+/// Maximum size of a request's head in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes of a body at most.
+/// Maximum size of a request's body in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
-/// Headers of a request at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// What invites a client to send the body that it has announced.
+/// The interim response that invites a client to send the announced body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// A request, as slices of the read buffer.
@@ -20,65 +20,65 @@
     pub path: &'a str,
     /// The query; empty if there is none.
     pub query: &'a str,
-    /// The credentials; empty if absent, as all headers here.
+    /// The `Authorization` header; empty if absent, like the other headers.
     pub authorization: &'a str,
-    /// All cookies.
+    /// The `Cookie` header.
     pub cookie: &'a str,
-    /// Tags of copies that the client holds.
+    /// The `If-None-Match` header: entity tags of copies that the client holds.
     pub if_none_match: &'a str,
-    /// Where the request has been (RFC 8586), a field line each.
+    /// The values of the `CDN-Loop` headers (RFC 8586): the nodes that the request has passed.
     pub cdn_loop: Vec<&'a str>,
-    /// Whether the client waits for an invitation to send its body.
+    /// Whether the client waits for a `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// Whether the connection stays open afterwards.
+    /// Whether the client allows the connection to stay open after the response.
     pub keep_alive: bool,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// What the front of the input holds.
+/// The result of decoding the start of the input.
 #[derive(Debug, PartialEq)]
 pub enum Decoded<'a> {
-    /// Not a complete request yet.
+    /// The request is incomplete.
     Partial {
-        /// Whether the client waits for an invitation to send its body.
+        /// Whether the client waits for a `100 Continue` before it sends the body.
         expects_continue: bool,
     },
-    /// A request, and its length in bytes.
+    /// A complete request, and its length in bytes.
     Complete(Request<'a>, usize),
 }
 
-/// Why a request cannot be read. It is answered, and the connection is closed.
+/// Why a request cannot be decoded. It is answered with an error status, and the connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The head exceeds its bound.
+    /// The head exceeds the maximum size.
     #[error("the head is too long")]
     HeadTooLong,
-    /// There are more headers than their bound.
+    /// There are more headers than allowed.
     #[error("too many headers")]
     TooManyHeaders,
-    /// Another version of HTTP.
+    /// The HTTP version is not supported.
     #[error("the version is not HTTP/1.0 or 1.1")]
     Version,
-    /// The head does not have its form.
+    /// The head is not valid HTTP.
     #[error("the head is malformed")]
     MalformedHead,
-    /// The value of a header is not text.
+    /// The value of a header is not UTF-8.
     #[error("a header is not UTF-8")]
     HeaderNotUtf8,
-    /// A body comes in an encoding without a length in front.
+    /// The body has a transfer encoding, which is not supported.
     #[error("a length is needed")]
     LengthRequired,
-    /// The length of the body is not a decimal number.
+    /// The `Content-Length` is not a decimal number.
     #[error("the length is no number")]
     LengthNotNumber,
-    /// Two lengths of the body differ.
+    /// There are different `Content-Length` headers.
     #[error("there are two lengths")]
     TwoLengths,
-    /// There is no host, or more than one.
+    /// There is no `Host` header, or more than one.
     #[error("one host is needed")]
     Host,
-    /// The body exceeds its bound.
+    /// The body exceeds the maximum size.
     #[error("the body is too long")]
     BodyTooLong,
 }
@@ -100,17 +100,17 @@
     }
 }
 
-/// What the headers say of the form of a request.
+/// The framing of a request, as its headers state it.
 #[derive(Debug, Default)]
 struct Framing {
-    /// Bytes of the body, if they are stated.
+    /// The length of the body in bytes, if stated.
     length: Option<usize>,
-    /// How many hosts are named.
+    /// The number of `Host` headers.
     host_count: usize,
 }
 
-/// Decodes one request off the front of the input. Guards against heads and bodies without end, and against requests
-/// whose length two readers could take differently.
+/// Decodes the request at the start of the input. Rejects heads and bodies above the maximum sizes, and ambiguous
+/// framing, which could make two implementations see different request boundaries (request smuggling).
 pub fn decode_request(input: &[u8]) -> Result<Decoded<'_>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -155,7 +155,7 @@
     }
 }
 
-/// Takes a header into the request, and into what is known of its form.
+/// Decodes a header into the request and its framing.
 fn decode_header<'a>(
     header: &httparse::Header<'a>,
     is_version_1_1: bool,
@@ -220,17 +220,17 @@
 pub struct Response<'a> {
     /// The status.
     pub status: u16,
-    /// Headers besides the usual ones.
+    /// Headers in addition to `Date`, `Content-Length` and `Connection`.
     pub headers: &'a [(&'a str, &'a str)],
     /// The body.
     pub body: &'a [u8],
-    /// Whether it answers a `HEAD`: the length is stated, the body is not sent.
+    /// Whether it answers a `HEAD` request: the length is stated, but the body is not sent.
     pub is_head: bool,
     /// Whether the connection stays open.
     pub keep_alive: bool,
 }
 
-/// Writes a response, dated by the clock.
+/// Writes a response with the current date.
 pub fn encode_response(output: &mut Vec<u8>, response: &Response<'_>) {
     let Response { status, headers, body, is_head, keep_alive } = *response;
     let date = httpdate::fmt_http_date(clock::system_time(clock::unix_now()));
@@ -238,7 +238,7 @@
     for (name, value) in headers {
         head.extend([*name, ": ", *value, "\r\n"]);
     }
-    // A 304 has no body by definition, and a length there would be that of the copy.
+    // A 304 has no body; a `Content-Length` would state the length of the client's copy.
     let is_not_modified = status == 304;
     if !is_not_modified {
         head.push_str(&format!("Content-Length: {}\r\n", body.len()));
--- a/gateway/src/signed/issue.rs
+++ b/gateway/src/signed/issue.rs
@@ -1,4 +1,4 @@
-//! Issuing of links and tokens.
+//! Issuing of links and of URLs with a token.
 use super::error::IssueError;
 use super::path::parse_path;
 use super::settings::FrontSettings;
@@ -8,7 +8,7 @@
 use larchway::settings::get;
 use miniserde::json::Value;
 
-/// Seconds for which a link is valid, if the order states none.
+/// Lifetime of a link in seconds if the request does not state one.
 const DEFAULT_LIFETIME_S: u64 = 3600;
 
 /// A link, or a URL with a token.
@@ -16,11 +16,12 @@
 pub struct Issued {
     /// The URL.
     pub url: String,
-    /// The Unix second from which it no longer holds.
+    /// When it expires, in Unix seconds.
     pub expires: u64,
 }
 
-/// Issues what a holder of an issuing credential, or the operator at the command line, orders at this Unix second.
+/// Issues what `order` requests, for a holder of an issuing credential or an operator at the command line. `second`:
+/// the current Unix time.
 pub fn issue(
     wire_settings: &WireSettings,
     front: &FrontSettings,
--- a/gateway/src/signed/link.rs
+++ b/gateway/src/signed/link.rs
@@ -1,25 +1,26 @@
 //! Signed URLs: expiry, key name and an HMAC-SHA256 in the query, bound to method and path.
 //!
-//! The query is `Expires=SECONDS[&NotBefore=SECONDS]&KeyName=NAME&Signature=BASE64URL`, the signature last. What
-//! is signed is the method, a line break, and path and query up to the signature.
+//! The query is `Expires=SECONDS[&NotBefore=SECONDS]&KeyName=NAME&Signature=BASE64URL`, the signature last. The signed
+//! text is the method, a line feed, and the path and query up to the signature.
 use super::error::{Denied, UnknownKey};
 use super::keys::{decode_base64url, encode_base64url, Keys};
 use super::validity::check_time;
 
-/// What a link grants.
+/// The request that a link grants.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Grant<'a> {
-    /// The method; one for `GET` also serves `HEAD`.
+    /// The method; a link for `GET` is also valid for `HEAD`.
     pub method: &'a str,
     /// The path.
     pub path: &'a str,
-    /// Unix second from which it no longer holds.
+    /// When the link expires, in Unix seconds.
     pub expires: u64,
-    /// Unix second from which it holds.
+    /// When the link becomes valid, in Unix seconds.
     pub not_before: Option<u64>,
 }
 
-/// Issues a link: path and signed query.
+/// Issues a link, consisting of the path and the signed query. `key`: the name of the signing key; the first one if
+/// none.
 pub fn issue(keys: &Keys, key: Option<&str>, grant: &Grant<'_>) -> Result<String, UnknownKey> {
     let key = keys.signing(key)?;
     let start = grant.not_before.map_or(String::new(), |second| format!("&NotBefore={second}"));
@@ -28,13 +29,13 @@
     Ok(format!("{unsigned_url}&Signature={signature}"))
 }
 
-/// A decimal number in its one form, so that no two texts mean the same link.
+/// Parses a decimal number in canonical form (no sign, no leading zeros), so that each link has only one spelling.
 pub fn parse_canonical_number(text: &str) -> Option<u64> {
     let number: u64 = text.parse().ok()?;
     (number.to_string() == text).then_some(number)
 }
 
-/// Checks a link at this Unix second. Guards against a signature made for another method, path, time or key.
+/// Checks a link at the Unix time `second`. Rejects a signature for another method, path, time or key.
 pub fn check(keys: &Keys, method: &str, path: &str, query: &str, second: u64) -> Result<(), Denied> {
     let (signed, signature) = query.rsplit_once("&Signature=").ok_or(Denied::Unsigned)?;
     let mut fields = signed.split('&').map(|field| field.split_once('=').unwrap_or((field, "")));
--- a/gateway/src/signed/mod.rs
+++ b/gateway/src/signed/mod.rs
@@ -1,8 +1,8 @@
-//! The front for signed links (the second front of the pages): HTTP/1.1 with signed URLs and URI Signing tokens. It
-//! checks whether a request may pass; what becomes of it the core decides, as for the platform's front.
+//! The front for signed links (called the second front in the documentation): HTTP/1.1 with signed URLs and URI Signing
+//! tokens. It authorizes requests; the core decides how they are served, as for the platform's front.
 //!
-//! [`Session`] is the state of one client's connection. It decodes the requests, replies to those that need no
-//! decision, and hands requests for objects to its owner as actions.
+//! [`Session`] is the state of one client connection. It decodes requests, replies to those that need no decision, and
+//! passes requests for objects to its owner as actions.
 mod admission;
 mod arrivals;
 mod error;
--- a/gateway/src/signed/path.rs
+++ b/gateway/src/signed/path.rs
@@ -1,31 +1,31 @@
-//! Paths of objects: `/CLASS/FAMILY/OBJECT/PART`, each in its one form. The group (`FAMILY`) is in the path so that
-//! it is signed with it: a purge of the group must reach what was requested by a link.
+//! Paths of objects: `/CLASS/FAMILY/OBJECT/PART`, in canonical form only. The path contains the group (`FAMILY`) so
+//! that it is signed: a purge of the group must reach the objects that were requested by links.
 use super::error::PathError;
 use super::link;
 use super::settings::FrontSettings;
 use crate::wire_settings::WireSettings;
 
-/// Groups are numbered below this.
+/// Number of groups; group numbers are below it.
 const GROUP_COUNT: u64 = 256;
-/// Digits of an object's id.
+/// Number of hexadecimal digits of an object's id.
 const OBJECT_DIGITS: usize = 16;
 
-/// What a path names.
+/// The object and part that a path names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ObjectPath<'a> {
     /// The class, by its slot.
     pub class: usize,
-    /// The group.
+    /// The number of the group.
     pub group: u64,
-    /// The object, as the client wrote it.
+    /// The id of the object, as in the path.
     pub object_name: &'a str,
-    /// The object.
+    /// The id of the object.
     pub object: u64,
-    /// The part.
+    /// The number of the part.
     pub part: u64,
 }
 
-/// Reads a path.
+/// Parses a path.
 pub fn parse_path<'a>(
     wire_settings: &WireSettings,
     front: &FrontSettings,
--- a/gateway/src/signed/request.rs
+++ b/gateway/src/signed/request.rs
@@ -1,4 +1,4 @@
-//! Requests for objects, read from their path and headers.
+//! Decoding of requests for objects from their paths and headers.
 use super::admission;
 use super::error::{PathError, RequestError};
 use super::http;
@@ -9,13 +9,13 @@
 use crate::wire_settings::WireSettings;
 use std::time::Duration;
 
-/// How long a client waits, where the settings state no deadline of the class.
+/// Deadline of a request if the settings state none for its class.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(3);
-/// Characters of an entity tag at most that goes on to stores.
+/// Maximum length of an entity tag that is forwarded to stores.
 const MAX_TAG_LENGTH: usize = 64;
 
-/// Reads a request for an object that has waited on its connection for so long, if its signature or token holds at this
-/// moment.
+/// Decodes a request for an object and checks that its signature or token is valid now. `waited`: how long the request
+/// has waited on its connection.
 pub(super) fn read_request(
     front: Option<&FrontSettings>,
     wire_settings: &WireSettings,
@@ -32,7 +32,7 @@
         object: path.object,
         part: path.part,
         group: path.group,
-        // The client waits since it sent the request, also while that waited for the reply to the one before.
+        // The client's wait includes the time that the request waited for the reply to an earlier one.
         timeout: deadline.saturating_sub(waited),
         client_tag: single_tag(request.if_none_match).map(str::to_string),
         via: request.cdn_loop.join(", "),
@@ -40,7 +40,8 @@
     })
 }
 
-/// The tag that can go on to the store; of several, or of any, the reply's tag is compared here.
+/// The entity tag to forward to the store: the only one in `If-None-Match`. With several tags or `*`, none is
+/// forwarded, and the gateway compares them with the reply's tag.
 fn single_tag(if_none_match: &str) -> Option<&str> {
     let tag = if_none_match.trim_start_matches("W/").trim_matches('"');
     let is_plain = !tag.is_empty()
@@ -49,7 +50,7 @@
     is_plain.then_some(tag)
 }
 
-/// Whether one of the tags sent by the client is this one.
+/// Whether the client's `If-None-Match` header matches this entity tag.
 pub(super) fn contains_tag(client_tags: &str, tag: &str) -> bool {
     client_tags
         .split(',')
--- a/gateway/src/signed/session.rs
+++ b/gateway/src/signed/session.rs
@@ -1,6 +1,5 @@
-//! The session of a client on the front for signed links: a state machine that is given the time and bytes and answers
-//! with actions. It knows no socket and does not decide on requests. Requests on a connection are answered one after
-//! another.
+//! The session of a client on the front for signed links: a state machine that turns received bytes into actions. It
+//! does no I/O and does not decide on requests. Requests on a connection are answered one after another.
 use super::arrivals::Arrivals;
 use super::error::{IssueError, RequestError};
 use super::http::{self, Decoded, Response};
@@ -18,37 +17,37 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// The time in which a request must be complete, from its first byte, and in which the first byte must come.
+/// Time for the first byte of the first request to arrive, and for a request to be complete after its first byte.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of replies that may wait before the next request on a connection is handled.
+/// Maximum number of unsent reply bytes with which the next request on a connection is handled.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
-/// The advice to a client that cannot be served now, where it may be given one.
+/// The Retry-After header for a client that cannot be served now.
 const RETRY_AFTER_ONE_SECOND: (&str, &str) = ("Retry-After", "1");
 
 /// What a session needs to know of the gateway to handle a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Context<'a> {
-    /// The settings of the front; none if it is off.
+    /// The settings of the front; none if it is disabled.
     pub front: Option<&'a FrontSettings>,
-    /// Names and limits of the wires.
+    /// Names and limits used by the wire protocols.
     pub wire_settings: &'a WireSettings,
-    /// Whether a complete list of stores was received.
+    /// Whether a complete endpoint list was received.
     pub has_endpoints: bool,
-    /// Whether the process ends, so that connections are closed after the reply.
+    /// Whether the process is shutting down, so that the connection is closed after the reply.
     pub is_stopping: bool,
     /// Whether a client may be advised to retry later.
     pub may_advise_retry: bool,
-    /// Bytes of earlier replies that wait to be sent.
+    /// Number of unsent bytes of earlier replies.
     pub unsent_bytes: usize,
 }
 
-/// What becomes of a connection once the reply in the output is sent.
+/// What happens to the connection once the reply in the output is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterReply {
     /// It stays open.
     KeepOpen,
-    /// It is closed in order.
+    /// It is closed gracefully.
     Finish,
 }
 
@@ -63,7 +62,7 @@
     Reply(AfterReply),
     /// Admit the request, whose call id is still to be set, then call [`Session::admitted`] or [`Session::reject`].
     Submit {
-        /// Its number on the connection.
+        /// The request's number on the connection.
         sequence: u64,
         /// The request.
         request: Box<core::Request>,
@@ -73,34 +72,35 @@
 /// Input that was handled.
 #[derive(Debug)]
 pub struct Handled {
-    /// Bytes of the input that were used; 0 if no request is complete, or none is handled now.
+    /// Number of input bytes consumed; 0 if no request is complete, or none can be handled now.
     pub used: usize,
-    /// What is to be done.
+    /// What the owner has to do.
     pub action: Action,
 }
 
-/// What is known of a client's connection.
+/// The state of a client connection.
 #[derive(Debug, Default)]
 pub struct Session {
     /// The request that waits for its final reply.
     open: Option<SlotKey>,
-    /// When the first byte of a request came that is not complete yet.
+    /// When the first byte of an incomplete request was handled; none if there is no incomplete request.
     incomplete_since: Option<MonotonicTime>,
-    /// Whether the client was invited to send the body of that request.
+    /// Whether `100 Continue` was sent for that request.
     is_continue_sent: bool,
     /// Whether the last request was a `HEAD`.
     is_head: bool,
     /// Whether the connection stays open after the reply to the last request.
     keep_alive: bool,
-    /// The tags of the copies that the client holds, as it sent them with the last request.
+    /// The `If-None-Match` header of the last request.
     client_tags: String,
     /// The number of the last request.
     sequence: u64,
+    /// Arrival times of the buffered input.
     arrivals: Arrivals,
 }
 
 impl Session {
-    /// Bytes were received from the client.
+    /// Records that bytes were received from the client.
     pub fn record_read(&mut self, now: MonotonicTime, bytes: usize) {
         self.arrivals.record(now, bytes);
     }
@@ -115,18 +115,18 @@
         self.open
     }
 
-    /// The request that waits for its final reply, which is announced as the last one on the connection.
+    /// Announces the next reply as the last one on the connection. Returns the request that waits for its final reply.
     pub fn disable_keep_alive(&mut self) -> Option<SlotKey> {
         self.keep_alive = false;
         self.open
     }
 
-    /// When the first byte of a request came that is not complete yet.
+    /// When the first byte of an incomplete request was handled; none if there is no incomplete request.
     pub fn incomplete_since(&self) -> Option<MonotonicTime> {
         self.incomplete_since
     }
 
-    /// Handles the first request of the input, if it is complete and none before it waits for its reply. Replies that
+    /// Handles the first request of the input, if it is complete and no earlier one waits for its reply. Replies that
     /// need no decision are appended to the output.
     pub fn handle(
         &mut self,
@@ -135,7 +135,8 @@
         context: &Context<'_>,
         output: &mut Vec<u8>,
     ) -> Handled {
-        // A client that sends on and on and reads nothing must not have its replies pile up.
+        // The unsent bytes are limited: replies must not accumulate for a client that pipelines requests and reads
+        // nothing.
         if self.open.is_some() || input.is_empty() || context.unsent_bytes > MAX_UNSENT_BYTES {
             return Handled { used: 0, action: Action::None };
         }
@@ -185,7 +186,7 @@
         Action::None
     }
 
-    /// Handles a complete request that has waited on the connection for so long.
+    /// Handles a complete request. `waited`: how long it has waited on the connection.
     fn handle_request(
         &mut self,
         request: &http::Request<'_>,
@@ -251,12 +252,12 @@
         }
     }
 
-    /// The last request was admitted under a key.
+    /// Records that the last request was admitted under this key.
     pub fn admitted(&mut self, request: SlotKey) {
         self.open = Some(request);
     }
 
-    /// Replies to the last request, which is not admitted.
+    /// Replies to the last request, which was not admitted.
     pub fn reject(
         &mut self,
         error: RequestError,
@@ -267,7 +268,7 @@
         self.write_failure(error.status(), &error.to_string(), may_advise_retry, is_stopping, output)
     }
 
-    /// Gives the final reply to the request of a number; none if that is not open.
+    /// Writes the final reply to the request with this number; returns none if that is not open.
     pub fn finish(
         &mut self,
         sequence: u64,
@@ -295,7 +296,7 @@
                 }
             }
             FinalReply::Rejected(retry_after) => {
-                // HTTP has room for seconds only; where nothing is advised, nothing is sent.
+                // Retry-After has a resolution of seconds; without advice the header is omitted.
                 let seconds = ceil_secs(*retry_after).to_string();
                 let advice = [("Retry-After", &seconds[..])];
                 let headers: &[(&str, &str)] = if *retry_after > Duration::ZERO { &advice } else { &[] };
@@ -310,7 +311,7 @@
         })
     }
 
-    /// Writes a reply that says why there is no other, with the advice to retry where it may be given.
+    /// Writes an error reply; a 503 has a Retry-After header if clients may be advised to retry.
     fn write_failure(
         &self,
         status: u16,
@@ -344,7 +345,7 @@
     }
 }
 
-/// Issues what the body of a request orders.
+/// Issues the link or token that the JSON body of a request describes.
 fn issue_from_body(
     body: &[u8],
     front: &FrontSettings,
--- a/gateway/src/signed/session/tests.rs
+++ b/gateway/src/signed/session/tests.rs
@@ -8,7 +8,7 @@
 
 const PATH: &str = "/files/17/7f3a9c21e0b4d655/3";
 const START: MonotonicTime = MonotonicTime::from_micros(5_000_000);
-/// A Unix second that has not come.
+/// An expiry far in the future, in Unix seconds.
 const FAR_FUTURE: u64 = 1 << 40;
 
 fn front() -> FrontSettings {
@@ -39,14 +39,14 @@
     }
 }
 
-/// A request for an object by a link that holds.
+/// A request for an object with a valid link.
 fn signed_request(headers: &str) -> String {
     let grant = Grant { method: "GET", path: PATH, expires: FAR_FUTURE, not_before: None };
     let link = link::issue(&keys(), None, &grant).expect("issues");
     format!("GET {link} HTTP/1.1\r\nHost: x\r\n{headers}\r\n")
 }
 
-/// The status line and the rest of a response, which is taken off the output.
+/// Takes the response out of the output, as text.
 fn response(output: &mut Vec<u8>) -> String {
     String::from_utf8(std::mem::take(output)).expect("text")
 }
--- a/gateway/src/signed/settings.rs
+++ b/gateway/src/signed/settings.rs
@@ -3,21 +3,21 @@
 use super::{Keys, Secret};
 use std::net::SocketAddr;
 
-/// What the file of the front for signed links says.
+/// The settings of the front for signed links, as read from its file.
 #[derive(Debug, Clone)]
 pub struct FrontSettings {
-    /// Where it listens.
+    /// The address of the listener.
     pub listen: SocketAddr,
-    /// What stands before the path in the links that clients see.
+    /// The text before the path in the links that clients see, such as `https://files.test`.
     pub base: String,
-    /// The classes that links may name.
+    /// The classes that links are allowed for.
     pub classes: Vec<String>,
     /// The keys that sign and verify.
     pub keys: Keys,
-    /// The credentials of those who may have links issued.
+    /// The credentials that allow issuing links and tokens.
     pub holders: Vec<Secret>,
-    /// The issuers and the audience that tokens may name.
+    /// The issuers that tokens may name, and the audience of this service.
     pub parties: Parties,
-    /// For how long a link is valid at most, in seconds.
+    /// Maximum lifetime of a link in seconds.
     pub max_lifetime_s: u64,
 }
--- a/gateway/src/signed/tests.rs
+++ b/gateway/src/signed/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Two keys; the first one signs.
+/// Two keys, of which the first one is the signing key.
 pub fn keys() -> Keys {
     let key = |name: &str, byte| Secret::new(name.into(), vec![byte; 32]);
     Keys(vec![key("new", 1), key("old", 2)])
--- a/gateway/src/signed/token.rs
+++ b/gateway/src/signed/token.rs
@@ -1,4 +1,4 @@
-//! URI Signing tokens as in RFC 9246: a JWT, here with HS256, in the query or a cookie.
+//! URI Signing tokens (RFC 9246): a JWT, here with HS256, in the query or a cookie.
 use super::error::{Denied, UnknownKey};
 use super::keys::{decode_base64url, encode_base64url, Keys, Secret};
 use super::validity::check_time;
@@ -8,39 +8,39 @@
 use regex::RegexBuilder;
 use sha2::{Digest, Sha256};
 
-/// The parameter and cookie that carry a token.
+/// The name of the query parameter and of the cookie that carry a token.
 pub const PARAMETER: &str = "URISigningPackage";
-/// Bytes of a token at most.
+/// Maximum length of a token in bytes.
 const MAX_TOKEN_BYTES: usize = 4096;
-/// Claims that are supported here, for `cdnicrit`.
+/// The supported claims: `cdnicrit` may name only these.
 const SUPPORTED_CLAIMS: [&str; 7] = ["iss", "aud", "exp", "nbf", "iat", "cdniv", "cdniuc"];
 
 /// The parties that a token may name.
 #[derive(Debug, Clone, Default)]
 pub struct Parties {
-    /// Issuers that are accepted where a token names one.
+    /// The accepted issuers; checked if a token names its issuer.
     pub issuers: Vec<String>,
-    /// The audience that this service is, where a token names one.
+    /// The audience that identifies this service; checked if a token names audiences.
     pub audience: Option<String>,
 }
 
-/// The URI container for exactly one URI: its hash in the URL segment form of RFC 6920.
+/// The URI container of exactly one URI: its hash in the URL segment format of RFC 6920.
 pub fn uri_container(uri: &str) -> String {
     format!("hash:sha-256;{}", encode_base64url(&Sha256::digest(uri.as_bytes())))
 }
 
-/// What a token grants.
+/// The request that a token grants.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Grant<'a> {
-    /// The URI.
+    /// The complete URI, without the token.
     pub uri: &'a str,
-    /// Unix second from which it no longer holds.
+    /// When the token expires, in Unix seconds.
     pub expires: u64,
-    /// Unix second from which it holds.
+    /// When the token becomes valid, in Unix seconds.
     pub not_before: Option<u64>,
 }
 
-/// Issues a token for one URI, signed by the key of a name or by the first one.
+/// Issues a token for one URI. `key`: the name of the signing key; the first one if none.
 pub fn issue(
     keys: &Keys,
     key: Option<&str>,
@@ -73,7 +73,8 @@
     json_fields::parse(text).map_err(|_| Denied::Malformed)
 }
 
-/// Whether a URI is within a container. A pattern must match the complete URI, so that none grants more than it says.
+/// Whether a URI container includes a URI. A pattern must match the complete URI, so that it does not grant more than
+/// intended.
 fn contains(container: &str, uri: &str) -> Result<bool, Denied> {
     if let Some(pattern) = container.strip_prefix("regex:") {
         let mut built = RegexBuilder::new(&format!("^(?:{pattern})$"));
@@ -86,12 +87,12 @@
     Err(Denied::Malformed)
 }
 
-/// Checks a token for a URI, given without the token, at this Unix second. A claim that restricts the token in a way
-/// unknown here denies it, as the RFC asks.
+/// Checks a token for a URI, given without the token, at the Unix time `second`. A token with an unsupported
+/// restricting claim is rejected, as the RFC requires.
 pub fn check(keys: &Keys, parties: &Parties, token: &str, uri: &str, second: u64) -> Result<(), Denied> {
     let claims = verified_claims(keys, token)?;
     let text = |key| json_fields::text(&claims, key).map_err(|_| Denied::Malformed);
-    // Parts of a second are rounded against the bearer.
+    // Fractions of a second are rounded so that the validity period does not become longer.
     let expires = number_claim(&claims, "exp")?.map(|number| number as u64);
     let not_before = number_claim(&claims, "nbf")?.map(|number| number.ceil() as u64);
     check_restrictions(&claims)?;
@@ -108,7 +109,7 @@
     check_time(second, expires, not_before)
 }
 
-/// The claims of a token whose signature is right.
+/// Verifies the signature of a token and returns its claims.
 fn verified_claims(keys: &Keys, token: &str) -> Result<Value, Denied> {
     if token.len() > MAX_TOKEN_BYTES {
         return Err(Denied::Malformed);
@@ -118,7 +119,7 @@
         signed.split_once('.').filter(|(_, claims)| !claims.contains('.')).ok_or(Denied::Malformed)?;
     let head = decode_json_part(head)?;
     let signature = decode_base64url(signature).ok_or(Denied::InvalidSignature)?;
-    // The algorithm is this side's choice: a token may not pick none, or one with another kind of key.
+    // Only HS256 is accepted: a token must not select `none` or an algorithm for another type of key.
     if json_fields::text(&head, "alg") != Ok(Some("HS256")) || get(&head, "crit").is_some() {
         return Err(Denied::InvalidSignature);
     }
@@ -133,7 +134,7 @@
     decode_json_part(claims)
 }
 
-/// Checks the claims that restrict a token in ways that may not be supported here.
+/// Rejects tokens with restricting claims that are not supported.
 fn check_restrictions(claims: &Value) -> Result<(), Denied> {
     if get(claims, "cdniv").is_some_and(|version| as_f64(version) != Some(1.0)) {
         return Err(Denied::UnsatisfiedClaim);
@@ -142,7 +143,7 @@
     if critical.iter().any(|claim| !SUPPORTED_CLAIMS.contains(&claim.as_str())) {
         return Err(Denied::UnsatisfiedClaim);
     }
-    // Addresses, single use and renewal are not supported here: a token that demands one of them is denied.
+    // Restriction to a client address, single use, and renewal are not supported.
     let renews = get(claims, "cdnistt").is_some_and(|renewal| as_f64(renewal) != Some(0.0));
     if renews || get(claims, "cdniip").is_some() || get(claims, "jti").is_some() {
         return Err(Denied::UnsatisfiedClaim);
@@ -150,7 +151,7 @@
     Ok(())
 }
 
-/// A number from 0, if the claim is there.
+/// The value of a numeric claim, which must not be negative; none if the claim is absent.
 fn number_claim(claims: &Value, key: &str) -> Result<Option<f64>, Denied> {
     match get(claims, key) {
         None => Ok(None),
@@ -158,7 +159,7 @@
     }
 }
 
-/// The audiences that a token names; none if it names none.
+/// The audiences that a token names; empty if it names none.
 fn audience(claims: &Value) -> Result<Vec<String>, Denied> {
     match get(claims, "aud") {
         None => Ok(Vec::new()),
--- a/gateway/src/thrift/cursor.rs
+++ b/gateway/src/thrift/cursor.rs
@@ -2,10 +2,10 @@
 use super::error::ProtocolError;
 use super::protocol::value_type;
 
-/// Bytes that an entry of a map of strings has at least: the lengths of its key and its value.
+/// Minimum size in bytes of an entry of a string map: the length fields of its key and its value.
 const MIN_MAP_ENTRY_BYTES: usize = 8;
 
-/// Reads values off the front of a frame's content. No length in it is trusted.
+/// Reads values from the start of a frame's content. Every length is checked against the remaining bytes.
 pub(super) struct Cursor<'a> {
     input: &'a [u8],
 }
@@ -15,7 +15,7 @@
         Cursor { input }
     }
 
-    /// Whether all of the content is read.
+    /// Whether the content is read completely.
     pub(super) fn is_at_end(&self) -> bool {
         self.input.is_empty()
     }
@@ -53,7 +53,7 @@
         std::str::from_utf8(self.bytes()?).map_err(|_| ProtocolError::NotUtf8)
     }
 
-    /// The next field of a struct: its type and number; none at the end.
+    /// Reads the header of a struct's next field: its type and number; none at the end of the struct.
     pub(super) fn field(&mut self) -> Result<Option<(u8, i16)>, ProtocolError> {
         match self.byte()? {
             value_type::STOP => Ok(None),
@@ -61,21 +61,21 @@
         }
     }
 
-    /// A map of strings.
+    /// Reads a map from strings to strings.
     pub(super) fn string_map(&mut self) -> Result<Vec<(&'a str, &'a str)>, ProtocolError> {
         let (key, value) = (self.byte()?, self.byte()?);
         let length = self.length()?;
         if length > 0 && (key, value) != (value_type::STRING, value_type::STRING) {
             return Err(ProtocolError::MapNotOfStrings);
         }
-        // A count is not to be trusted with memory.
+        // Checked before memory is allocated for the entries.
         if length > self.input.len() / MIN_MAP_ENTRY_BYTES {
             return Err(ProtocolError::MapBeyondFrame);
         }
         (0..length).map(|_| Ok((self.text()?, self.text()?))).collect()
     }
 
-    /// Skips a value of a type; `depth`: how many values may contain each other.
+    /// Skips a value of this type; `depth`: the maximum nesting depth.
     pub(super) fn skip(&mut self, kind: u8, depth: u8) -> Result<(), ProtocolError> {
         if depth == 0 {
             return Err(ProtocolError::NestedTooDeep);
--- a/gateway/src/thrift/decode.rs
+++ b/gateway/src/thrift/decode.rs
@@ -3,41 +3,41 @@
 use super::error::ProtocolError;
 use super::protocol::{message_type, method, value_type, VERSION};
 
-/// Bytes of a frame's content at most: a write of 48,000 bytes and its fields.
+/// Maximum size of a frame's content in bytes: enough for a write of 48,000 bytes with its fields.
 const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// Bytes of the length in front of a frame.
+/// Size in bytes of a frame's header, which holds its length.
 const FRAME_HEADER_BYTES: usize = 4;
-/// How many values in a field that is not known may contain each other.
+/// Maximum nesting depth of the value of an unknown field.
 const MAX_DEPTH: u8 = 16;
 
-/// What a client called, as slices of the read buffer.
+/// A client's call, as slices of the read buffer.
 #[derive(Debug, PartialEq)]
 pub enum Call<'a> {
     /// A request.
     Serve {
-        /// Its fields.
+        /// The fields of the request.
         fields: Vec<(&'a str, &'a str)>,
-        /// Its body.
+        /// The body of the request.
         body: &'a [u8],
     },
     /// The client cancels the request of this sequence number.
     Cancel(i32),
-    /// Whether the gateway can serve.
+    /// A query whether the gateway can serve.
     HealthCheck,
-    /// A method that is not known here.
+    /// A call of an unknown method, by its name.
     Unknown(&'a str),
 }
 
 /// A message of a client.
 #[derive(Debug, PartialEq)]
 pub struct Message<'a> {
-    /// Sequence number on the connection.
+    /// The sequence number on the connection.
     pub sequence: i32,
     /// The call.
     pub call: Call<'a>,
 }
 
-/// Takes a complete frame off the front of the input: its content, and its length with the header.
+/// Decodes the frame at the start of the input: its content, and its length with the header; none if it is incomplete.
 pub fn decode_frame(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     let Some((header, rest)) = input.split_first_chunk::<FRAME_HEADER_BYTES>() else { return Ok(None) };
     let length =
--- a/gateway/src/thrift/encode.rs
+++ b/gateway/src/thrift/encode.rs
@@ -1,14 +1,14 @@
 //! Encoding of replies.
 use super::protocol::{message_type, method, value_type, VERSION};
 
-/// Number of the field of a reply that holds the method's result.
+/// Field number of the method's result in a reply.
 const RESULT: i16 = 0;
-/// Number of the field that holds the exception `Busy`.
+/// Field number of the exception `Busy` in a reply.
 const BUSY: i16 = 1;
-/// Number of the field that holds the exception `Failed`.
+/// Field number of the exception `Failed` in a reply.
 const FAILED: i16 = 2;
 
-/// Writes a message: the frame's length is set when its content is there.
+/// Writes a message in a frame, whose length is filled in after the content is written.
 fn write_message(
     output: &mut Vec<u8>,
     kind: u8,
@@ -49,15 +49,15 @@
 /// The content of an `Answer`, the result of a method.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Answer<'a> {
-    /// Its fields.
+    /// The fields of the answer.
     pub(super) fields: &'a [(&'a str, &'a str)],
-    /// Its body.
+    /// The body of the answer.
     pub(super) body: &'a [u8],
-    /// Whether what was called for was done.
+    /// Whether the call succeeded.
     pub(super) is_success: bool,
 }
 
-/// Writes the reply to a request, or to a health check, with its result.
+/// Writes the reply to a request or a health check.
 pub(super) fn write_answer(output: &mut Vec<u8>, name: &str, sequence: i32, answer: Answer<'_>) {
     write_message(output, message_type::REPLY, name, sequence, |output| {
         begin_field(output, value_type::STRUCT, RESULT);
@@ -69,7 +69,7 @@
     });
 }
 
-/// Writes the reply to a request with an exception that the service declares.
+/// Writes the reply to a request with an exception that the service's interface declares.
 fn write_declared_exception(output: &mut Vec<u8>, sequence: i32, number: i16, fields: &[(&str, &str)]) {
     write_message(output, message_type::REPLY, method::SERVE, sequence, |output| {
         begin_field(output, value_type::STRUCT, number);
@@ -78,19 +78,19 @@
     });
 }
 
-/// Writes a `Busy`, with the milliseconds to stay away if they are not 0.
+/// Writes a `Busy` exception, with the time in ms after which the client may retry unless that is 0.
 pub(super) fn write_busy(output: &mut Vec<u8>, sequence: i32, retry_after_ms: u64) {
     let text = retry_after_ms.to_string();
     let fields = [("pushback", text.as_str())];
     write_declared_exception(output, sequence, BUSY, if retry_after_ms > 0 { &fields } else { &[] });
 }
 
-/// Writes a `Failed`.
+/// Writes a `Failed` exception.
 pub(super) fn write_failed(output: &mut Vec<u8>, sequence: i32) {
     write_declared_exception(output, sequence, FAILED, &[]);
 }
 
-/// Writes an application exception of a kind.
+/// Writes a Thrift application exception of this kind.
 pub(super) fn write_exception(output: &mut Vec<u8>, name: &str, sequence: i32, kind: i32, text: &str) {
     write_message(output, message_type::EXCEPTION, name, sequence, |output| {
         begin_field(output, value_type::STRING, 1);
--- a/gateway/src/thrift/error.rs
+++ b/gateway/src/thrift/error.rs
@@ -1,78 +1,79 @@
-//! Errors of the platform's wire.
+//! Errors of the protocol with the platform's clients.
 use thiserror::Error;
 
-/// Why the bytes of a client cannot be understood. Nothing that follows on the connection can be trusted either.
+/// A violation of the protocol by a client. The connection has to be closed, since what follows cannot be trusted
+/// either.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// A length exceeds what is left of the frame.
-    #[error("a length goes past the end of its frame")]
+    /// A length exceeds the rest of the frame.
+    #[error("a length exceeds the rest of the frame")]
     LengthBeyondFrame,
-    /// A length is below 0.
+    /// A length is negative.
     #[error("a length is negative")]
     NegativeLength,
-    /// A string is not text.
+    /// A string is not valid UTF-8.
     #[error("a string is not UTF-8")]
     NotUtf8,
-    /// The fields of a request have other types.
-    #[error("a map is not of strings")]
+    /// The fields of a request are not a map from strings to strings.
+    #[error("a map is not from strings to strings")]
     MapNotOfStrings,
     /// A map has more entries than its frame can hold.
     #[error("a map is longer than its frame")]
     MapBeyondFrame,
-    /// Values that are skipped contain each other to too great a depth.
-    #[error("values are nested too deep")]
+    /// The value of an unknown field is nested too deeply.
+    #[error("values are nested too deeply")]
     NestedTooDeep,
-    /// The type of a value.
-    #[error("type {0} is unknown")]
+    /// A value has this unknown type.
+    #[error("unknown value type {0}")]
     UnknownType(u8),
-    /// A frame has this many bytes, which is too many.
-    #[error("a frame of {0} bytes")]
+    /// A frame's header states this length in bytes, which is above the limit.
+    #[error("a frame of {0} bytes is too long")]
     FrameTooLong(u32),
-    /// The first four bytes of a message do not name the protocol.
-    #[error("{0:#x} is not the strict binary protocol")]
+    /// The first four bytes of a message are not those of the strict binary protocol.
+    #[error("message header {0:#x} is not of the strict binary protocol")]
     NotStrictBinary(u32),
     /// A message is neither a call nor a one-way call.
-    #[error("a message of type {0}")]
+    #[error("unexpected message type {0}")]
     UnexpectedMessageType(u8),
     /// Bytes follow the message in its frame.
     #[error("a frame is longer than its message")]
     TrailingBytes,
-    /// The sequence number is not above the last one of the connection.
-    #[error("number {sequence} after {last}")]
+    /// A sequence number is not higher than the last one on the connection.
+    #[error("sequence number {sequence} is not above {last}")]
     SequenceNotAscending {
-        /// The number of the message.
+        /// The sequence number of the message.
         sequence: i32,
-        /// The highest one before it.
+        /// The highest sequence number before it.
         last: i32,
     },
 }
 
-/// Why the fields of a request cannot be used. The request is answered by an exception; the connection goes on.
+/// Why a request is invalid. It is answered with an exception, and the connection stays open.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// A field has a value that it cannot have.
+    /// A field has an invalid value.
     #[error("{field} cannot be {value:?}")]
     InvalidValue {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
-    /// A field that is needed.
+    /// This required field is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field that is given more than once.
+    /// This field is given more than once.
     #[error("{0} stands twice")]
     Duplicate(String),
-    /// The operation names no class.
+    /// This operation is not the name of a class.
     #[error("op {0:?} is unknown")]
     UnknownOperation(String),
-    /// The client does not wait at all, or its body is too long.
+    /// The time-out is 0, or the body is too long.
     #[error("ttl {timeout_ms} with a body of {body_bytes} bytes")]
     TimeoutOrBody {
-        /// Milliseconds that the client waits.
+        /// The client's time-out in ms.
         timeout_ms: u64,
-        /// Bytes of the body.
+        /// Length of the body in bytes.
         body_bytes: usize,
     },
 }
--- a/gateway/src/thrift/mod.rs
+++ b/gateway/src/thrift/mod.rs
@@ -1,7 +1,7 @@
 //! The platform's front: Thrift, framed transport, strict binary protocol.
 //!
-//! [`Session`] is the state of one client's connection. It decodes the calls, replies to those that need no decision,
-//! and hands requests to its owner as actions.
+//! [`Session`] is the state of one client connection. It decodes calls, replies to those that need no decision, and
+//! passes requests to its owner as actions.
 mod cursor;
 mod decode;
 mod encode;
--- a/gateway/src/thrift/protocol.rs
+++ b/gateway/src/thrift/protocol.rs
@@ -1,9 +1,9 @@
 //! Numbers and names of the Thrift binary protocol and of the platform's service.
 
-/// Highest 16 bits of the first four bytes of a message in the strict binary protocol.
+/// The upper 16 bits of the first four bytes of a message in the strict binary protocol.
 pub(super) const VERSION: u32 = 0x8001;
 
-/// Types of messages.
+/// Message types.
 pub(super) mod message_type {
     pub(in crate::thrift) const CALL: u8 = 1;
     pub(in crate::thrift) const REPLY: u8 = 2;
@@ -11,9 +11,9 @@
     pub(in crate::thrift) const ONEWAY: u8 = 4;
 }
 
-/// Types of values.
+/// Value types.
 pub(super) mod value_type {
-    /// Not a value: the end of a struct.
+    /// Marks the end of a struct.
     pub(in crate::thrift) const STOP: u8 = 0;
     pub(in crate::thrift) const BOOL: u8 = 2;
     pub(in crate::thrift) const BYTE: u8 = 3;
@@ -28,14 +28,14 @@
     pub(in crate::thrift) const LIST: u8 = 15;
 }
 
-/// The service's methods.
+/// Names of the service's methods.
 pub(super) mod method {
     pub(in crate::thrift) const SERVE: &str = "serve";
     pub(in crate::thrift) const CANCEL: &str = "forget";
     pub(in crate::thrift) const HEALTH_CHECK: &str = "isWell";
 }
 
-/// Kind of an application exception: the method is unknown.
+/// Kind of the application exception for an unknown method.
 pub(super) const UNKNOWN_METHOD: i32 = 1;
-/// Kind of an application exception: the message violates the protocol.
+/// Kind of the application exception for an invalid message.
 pub(super) const PROTOCOL_ERROR: i32 = 7;
--- a/gateway/src/thrift/request.rs
+++ b/gateway/src/thrift/request.rs
@@ -1,33 +1,33 @@
-//! The fields of a request, checked and read. Stores close a connection on which they receive what they cannot read or
-//! use, with all else that is open on it, so no such request may go on to one.
+//! Validation and decoding of a request's fields. A store closes the connection on which it receives an invalid
+//! request, which ends all other attempts there, so no invalid request may be forwarded.
 use super::error::RequestError;
 use crate::core::Request;
 use crate::spans::floor_millis;
 use crate::wire_settings::WireSettings;
 use std::time::Duration;
 
-/// Bytes of the body of a write at most.
+/// Maximum size of a request's body in bytes.
 const MAX_BODY_BYTES: usize = 48_000;
-/// Size of a part that a request may state at most, in KB: far above any object, below what breaks arithmetic.
+/// Maximum size of a part that a request may state, in KB: far above any object, and low enough to avoid overflows.
 const MAX_SIZE_KB: f64 = 1e9;
-/// Highest part of an object.
+/// Highest part number of an object.
 const MAX_PART: u64 = 1_000_000;
-/// Highest group of objects.
+/// Highest group number of objects.
 const MAX_GROUP: u64 = 255;
-/// Milliseconds that a client waits at most, where the settings state no deadline of the class.
+/// Maximum time-out of a client in ms if the settings state no deadline for the class.
 const MAX_TIMEOUT_MS: u64 = 600_000;
-/// A client may wait this many times the deadline of the class.
+/// Maximum time-out of a client, as a multiple of the class's deadline.
 const DEADLINE_MULTIPLE: u32 = 2;
-/// Characters of a tag or a key at most.
+/// Maximum length of a tag or an idempotency key.
 const MAX_NAME_LENGTH: usize = 64;
-/// Digits of a decimal number at most.
+/// Maximum number of digits of a decimal number.
 const MAX_DIGITS: usize = 15;
-/// Digits of an id in hexadecimal.
+/// Number of hexadecimal digits of an id.
 const ID_DIGITS: usize = 16;
-/// Characters of a size at most.
+/// Maximum length of the text of a size.
 const MAX_SIZE_LENGTH: usize = 24;
 
-/// The names of the fields on this wire.
+/// The names of the fields in this protocol.
 mod field_name {
     pub(super) const OPERATION: &str = "op";
     pub(super) const CALL: &str = "call";
@@ -44,7 +44,7 @@
     RequestError::InvalidValue { field, value: value.to_string() }
 }
 
-/// Reads the fields and the body of a request.
+/// Validates and decodes the fields and the body of a request.
 pub(super) fn read_request(
     settings: &WireSettings,
     fields: &[(&str, &str)],
@@ -101,7 +101,7 @@
     }
 }
 
-/// A decimal number in its one form, within bounds.
+/// Reads a decimal number of at most [`MAX_DIGITS`] digits, up to `max`.
 fn read_number(field: &'static str, text: &str, max: u64) -> Result<u64, RequestError> {
     let is_decimal =
         !text.is_empty() && text.len() <= MAX_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit());
@@ -109,14 +109,15 @@
     number.ok_or_else(|| invalid(field, text))
 }
 
-/// A number of 16 hexadecimal digits.
+/// Reads an id of 16 hexadecimal digits.
 fn read_id(field: &'static str, text: &str) -> Result<u64, RequestError> {
     let is_id = text.len() == ID_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = u64::from_str_radix(text, 16).ok().filter(|_| is_id);
     number.ok_or_else(|| invalid(field, text))
 }
 
-/// A tag or a key. What goes on to a store as part of a list of fields must not add fields to it.
+/// Reads a tag or an idempotency key. Commas and equals signs are rejected: it is forwarded to stores in a list of
+/// fields and must not add fields to it.
 fn read_name(field: &'static str, text: &str) -> Result<String, RequestError> {
     let is_plain = text.len() <= MAX_NAME_LENGTH
         && text.bytes().all(|byte| byte.is_ascii_graphic() && !b",=".contains(&byte));
@@ -126,7 +127,7 @@
     Ok(text.to_string())
 }
 
-/// The size of a part in KB as the decision module counts it: a plain decimal from 0, within what a part can be.
+/// Reads the size of a part in KB, the decision module's unit: a plain decimal number from 0 to [`MAX_SIZE_KB`].
 pub(super) fn read_size_kb(text: &str) -> Result<f64, RequestError> {
     let is_plain = !text.is_empty()
         && text.len() <= MAX_SIZE_LENGTH
--- a/gateway/src/thrift/session.rs
+++ b/gateway/src/thrift/session.rs
@@ -1,5 +1,5 @@
-//! The session of a client on the platform's front: a state machine that is given bytes and answers with actions. It
-//! knows no socket and does not decide on requests.
+//! The session of a client on the platform's front: a state machine that turns received bytes into actions. It does no
+//! I/O and does not decide on requests.
 use super::decode::{decode_frame, decode_message, Call, Message};
 use super::encode::{write_answer, write_busy, write_exception, write_failed, Answer};
 use super::error::ProtocolError;
@@ -13,19 +13,19 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Requests that may be open on one connection.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// The field of a reply that says that the client's own copy is current.
+/// The field of a reply which states that the client's own copy is current.
 const NOT_MODIFIED: (&str, &str) = ("keep", "1");
 
 /// What a session needs to know of the gateway to handle a message.
 #[derive(Debug, Clone, Copy)]
 pub struct Context<'a> {
-    /// Names and limits of the wire.
+    /// Names and limits used by the wire protocols.
     pub wire_settings: &'a WireSettings,
-    /// Whether a complete list of stores was received.
+    /// Whether a complete endpoint list was received.
     pub has_endpoints: bool,
-    /// Whether there is capacity for one more request of this client.
+    /// Whether the gateway has capacity for one more request of this client.
     pub has_capacity: bool,
 }
 
@@ -35,16 +35,16 @@
     /// Admit the request, then call [`Session::admitted`], or [`Session::reject_duplicate`] if its call is open
     /// already.
     Submit {
-        /// Its sequence number on the connection.
+        /// The request's sequence number on the connection.
         sequence: i32,
         /// The request.
         request: Request,
     },
     /// Count the request as rejected, call [`Session::reject`], and send what is in the output.
     Reject {
-        /// Its sequence number on the connection.
+        /// The request's sequence number on the connection.
         sequence: i32,
-        /// Its class.
+        /// The request's class.
         class: usize,
     },
     /// Cancel the open request, and send what is in the output.
@@ -56,24 +56,24 @@
 /// A message that was handled.
 #[derive(Debug)]
 pub struct Handled {
-    /// Bytes of the input that the message took.
+    /// Length of the message in bytes.
     pub used: usize,
-    /// What is to be done.
+    /// What the owner has to do.
     pub action: Action,
 }
 
-/// What is known of a client's connection: its open requests, and the sequence numbers that it has used.
+/// The state of a client connection: its open requests and the sequence numbers used.
 #[derive(Debug, Default)]
 pub struct Session {
-    /// Its open requests by sequence number.
+    /// The open requests by sequence number.
     open: BTreeMap<i32, SlotKey>,
-    /// The highest sequence number so far.
+    /// The highest sequence number received.
     last_sequence: i32,
 }
 
 impl Session {
-    /// Handles the first message of the input, if it is complete. Replies that need no decision are appended to the
-    /// output.
+    /// Handles the first message of the input; none if it is incomplete. Replies that need no decision are appended to
+    /// the output.
     pub fn handle(
         &mut self,
         input: &[u8],
@@ -87,7 +87,8 @@
         Ok(Some(Handled { used, action }))
     }
 
-    /// A second reply under a sequence number would pass for that to the first request.
+    /// Checks that the sequence number is new: a second reply under a number would be mistaken for that to the first
+    /// request.
     fn check_sequence(&mut self, message: &Message<'_>) -> Result<(), ProtocolError> {
         if matches!(message.call, Call::Cancel(_)) {
             return Ok(());
@@ -149,23 +150,23 @@
         }
     }
 
-    /// The request of a sequence number was admitted under a key.
+    /// Records that the request of a sequence number was admitted under this key.
     pub fn admitted(&mut self, sequence: i32, request: SlotKey) {
         self.open.insert(sequence, request);
     }
 
-    /// Replies to a request whose call id is that of an open one.
+    /// Replies to a request whose call id is already in use by an open request.
     pub fn reject_duplicate(&self, sequence: i32, call_id: &str, output: &mut Vec<u8>) {
         warn!(call_id, "a request is malformed: its call is open already");
         write_exception(output, method::SERVE, sequence, PROTOCOL_ERROR, "call is open already");
     }
 
-    /// Replies to a request that is rejected before it was admitted; the client may retry after this span.
+    /// Replies to a rejected request; the client may retry after `retry_after`, or at its own choice if that is zero.
     pub fn reject(&self, sequence: i32, retry_after: Duration, output: &mut Vec<u8>) {
         write_busy(output, sequence, ceil_millis(retry_after));
     }
 
-    /// Gives the final reply to a request, which is open no more.
+    /// Writes the final reply to a request and removes it from the open ones.
     pub fn finish(&mut self, sequence: i32, reply: &FinalReply<'_>, output: &mut Vec<u8>) {
         self.open.remove(&sequence);
         match reply {
@@ -182,7 +183,7 @@
         }
     }
 
-    /// The requests that wait for their final reply, by sequence number.
+    /// The requests that wait for their final reply, in order of sequence numbers.
     pub fn open_requests(&self) -> impl Iterator<Item = SlotKey> + '_ {
         self.open.values().copied()
     }
--- a/gateway/src/thrift/session/tests.rs
+++ b/gateway/src/thrift/session/tests.rs
@@ -70,7 +70,7 @@
         }
     }
     let error = session.handle(&request(5, "200"), &context(&settings), &mut output).expect_err("used");
-    assert_eq!(error.to_string(), "number 5 after 5");
+    assert_eq!(error.to_string(), "sequence number 5 is not above 5");
 }
 
 #[test]
--- a/gateway/src/thrift/tests.rs
+++ b/gateway/src/thrift/tests.rs
@@ -21,7 +21,7 @@
     ] {
         assert!(call(malformed).is_err(), "{malformed:?}");
     }
-    // Structs within structs, deeper than any real one.
+    // Nested structs beyond the maximum depth.
     assert!(call(&[12, 0, 9].repeat(5000)).is_err());
 }
 
