--- a/gateway/src/deadlines.rs
+++ b/gateway/src/deadlines.rs
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     due_at: MonotonicTime,
-    due: DeadlineKind,
+    kind: DeadlineKind,
 }
 
 /// Deadlines, ordered by time.
@@ -59,13 +59,13 @@
 
 impl Deadlines {
     /// Adds a deadline.
-    pub fn set(&mut self, due_at: MonotonicTime, due: DeadlineKind) {
-        self.0.insert(Deadline { due_at, due });
+    pub fn set(&mut self, due_at: MonotonicTime, kind: DeadlineKind) {
+        self.0.insert(Deadline { due_at, kind });
     }
 
     /// Cancels a deadline.
-    pub fn clear(&mut self, due_at: MonotonicTime, due: DeadlineKind) {
-        self.0.remove(&Deadline { due_at, due });
+    pub fn clear(&mut self, due_at: MonotonicTime, kind: DeadlineKind) {
+        self.0.remove(&Deadline { due_at, kind });
     }
 
     /// Sets, moves or cancels the deadline whose time the caller stores in `current`, so that it expires at `wanted`.
@@ -73,16 +73,16 @@
         &mut self,
         current: &mut Option<MonotonicTime>,
         wanted: Option<MonotonicTime>,
-        due: DeadlineKind,
+        kind: DeadlineKind,
     ) {
         if *current == wanted {
             return;
         }
         if let Some(former) = std::mem::replace(current, wanted) {
-            self.clear(former, due);
+            self.clear(former, kind);
         }
         if let Some(due_at) = wanted {
-            self.set(due_at, due);
+            self.set(due_at, kind);
         }
     }
 
@@ -96,6 +96,6 @@
         if self.next()? > now {
             return None;
         }
-        self.0.pop_first().map(|deadline| deadline.due)
+        self.0.pop_first().map(|deadline| deadline.kind)
     }
 }
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -100,7 +100,7 @@
         self.core.object_cache.iter_mut().for_each(|cache| cache.set_capacity(budget));
         while self.client_bytes > self.max_client_bytes {
             let Some((key, input)) = self.largest_input() else { return };
-            self.cut_off(now, key, input);
+            self.disconnect_for_memory(now, key, input);
         }
     }
 
@@ -117,12 +117,12 @@
             let Some((key, input)) = self.largest_input().filter(|(_, input)| is_large_input(input)) else {
                 break;
             };
-            self.cut_off(now, key, input);
+            self.disconnect_for_memory(now, key, input);
         }
         self.can_buffer(answer_bytes)
     }
 
-    fn cut_off(&mut self, now: MonotonicTime, key: SlotKey, input: usize) {
+    fn disconnect_for_memory(&mut self, now: MonotonicTime, key: SlotKey, input: usize) {
         warn!(
             client_input_bytes = input,
             all_clients_bytes = self.client_bytes,
--- a/gateway/src/net/connections.rs
+++ b/gateway/src/net/connections.rs
@@ -19,7 +19,7 @@
 use tracing::{error, warn};
 
 /// Size of one read while the input buffer holds at most this number of bytes.
-const FIRST_READ_BYTES: usize = 8 * 1024;
+const SMALL_READ_BYTES: usize = 8 * 1024;
 /// Size of one read while the input buffer holds more, as within a large message.
 pub(super) const LARGE_READ_BYTES: usize = 64 * 1024;
 
@@ -150,9 +150,9 @@
         let end_reason = read_available(now, conn, &mut input, &mut self.read_buffer);
         // Requests of a client that has disconnected are not begun; the last replies of a store are still handled.
         let client_left = is_client && end_reason.is_some();
-        let malformed = if client_left { None } else { self.parse_messages(now, key, &mut input).err() };
+        let malformed = if client_left { None } else { self.handle_messages(now, key, &mut input).err() };
         input.compact();
-        self.keep_input(now, key, input);
+        self.store_unprocessed_input(now, key, input);
         self.update_client_bytes(key);
         self.enforce_client_bytes(now);
         if let Some(reason) = malformed {
@@ -169,7 +169,7 @@
 
     /// Stores unprocessed input for the next read, and moves the deadline forward if needed, so that an incomplete
     /// message times out.
-    fn keep_input(&mut self, now: MonotonicTime, key: SlotKey, input: Buffer) {
+    fn store_unprocessed_input(&mut self, now: MonotonicTime, key: SlotKey, input: Buffer) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         let is_incomplete = !input.remaining().is_empty();
         conn.incomplete_since = is_incomplete.then(|| conn.incomplete_since.unwrap_or(now));
@@ -187,7 +187,7 @@
     }
 
     /// Decodes and handles the complete messages of the input, with the codec of the connection's role.
-    fn parse_messages(
+    fn handle_messages(
         &mut self,
         now: MonotonicTime,
         key: SlotKey,
@@ -307,18 +307,24 @@
             }
             Role::Store(session) => {
                 self.store_connection_count -= 1;
-                self.end_store_connection(now, key, session, conn.state.is_connected(), &describe(reason));
+                self.end_store_connection(
+                    now,
+                    key,
+                    session,
+                    conn.state.is_connected(),
+                    &describe_close(reason),
+                );
             }
             Role::Ensemble if self.ensemble_connection == Some(key) => {
                 self.ensemble_connection = None;
                 let effects =
-                    self.membership.as_mut().map(|m| m.handle_connection_lost(now, &describe(reason)));
+                    self.membership.as_mut().map(|m| m.handle_connection_lost(now, &describe_close(reason)));
                 self.apply_membership_effects(now, effects.unwrap_or_default());
             }
             // Closed by the membership protocol itself, which needs no notification.
             Role::Ensemble => {}
             Role::Events if self.events_connection == Some(key) => {
-                warn!(reason = %describe(reason), "the bulletin is lost");
+                warn!(reason = %describe_close(reason), "the bulletin is lost");
                 self.events_connection = None;
                 let effects = self.events.disconnected(now);
                 self.apply_event_effects(now, effects);
@@ -367,7 +373,7 @@
         for key in std::mem::take(&mut self.resumable) {
             let Some(conn) = self.connections.get_mut(key) else { continue };
             let mut input = std::mem::take(&mut conn.input);
-            let malformed = self.parse_messages(now, key, &mut input).err();
+            let malformed = self.handle_messages(now, key, &mut input).err();
             if let Some(conn) = self.connections.get_mut(key) {
                 conn.input = input;
             }
@@ -386,7 +392,7 @@
 }
 
 /// The text of a close reason for logs and effects.
-fn describe(reason: Option<&CloseReason>) -> String {
+fn describe_close(reason: Option<&CloseReason>) -> String {
     reason.map_or_else(|| "closed".to_string(), CloseReason::to_string)
 }
 
@@ -404,7 +410,7 @@
     while total_read < MAX_BYTES_PER_ITERATION {
         // Large messages are read in large pieces.
         let read_bytes =
-            if input.bytes.len() > FIRST_READ_BYTES { LARGE_READ_BYTES } else { FIRST_READ_BYTES };
+            if input.bytes.len() > SMALL_READ_BYTES { LARGE_READ_BYTES } else { SMALL_READ_BYTES };
         match read_once(&conn.stream, &mut buffer[..read_bytes]) {
             Ok(ReadOutcome::Ended) => return Some(CloseReason::ClosedByPeer),
             Ok(ReadOutcome::Received(count)) => {
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -240,8 +240,8 @@
 
     /// Handles every expired deadline.
     fn handle_due_deadlines(&mut self, now: MonotonicTime) {
-        while let Some(due) = self.core.deadlines.pop(now) {
-            self.handle_deadline(now, due);
+        while let Some(kind) = self.core.deadlines.pop(now) {
+            self.handle_deadline(now, kind);
             self.process_commands(now);
         }
     }
@@ -334,8 +334,8 @@
     }
 
     /// Handles one expired deadline.
-    fn handle_deadline(&mut self, now: MonotonicTime, due: DeadlineKind) {
-        match due {
+    fn handle_deadline(&mut self, now: MonotonicTime, kind: DeadlineKind) {
+        match kind {
             DeadlineKind::Connection(key) => self.check_timeout(now, key),
             DeadlineKind::Events => self.check_events(now),
             DeadlineKind::EventsConnect => self.retry_events_connect(now),
@@ -370,7 +370,7 @@
                 }
             }
             DeadlineKind::Accept => self.set_listener_interest(true),
-            due => self.core.handle_deadline(now, due),
+            kind => self.core.handle_deadline(now, kind),
         }
     }
 
--- a/gateway/src/net/store_traffic.rs
+++ b/gateway/src/net/store_traffic.rs
@@ -41,7 +41,7 @@
             true if conn.fully_read && now < conn.last_read + MAX_ITERATION_TIME => false,
             true if conn.has_nothing_to_read() => false,
             // The end of the stream, or the cancellation of the request, may be behind other messages.
-            true => self.reads_to_hangup(now, client),
+            true => self.read_until_hangup(now, client),
             false => is_hung_up(&conn.stream),
         };
         if has_left {
@@ -52,7 +52,7 @@
 
     /// Reads the available input of a client, and returns whether the client has disconnected behind it. Reads
     /// repeatedly: while the receive buffer is full, the end of the stream cannot arrive.
-    fn reads_to_hangup(&mut self, now: MonotonicTime, client: SlotKey) -> bool {
+    fn read_until_hangup(&mut self, now: MonotonicTime, client: SlotKey) -> bool {
         for _ in 0..MAX_READS_FOR_HANGUP {
             self.read(now, client);
             let Some(conn) = self.connections.get(client) else { return false };
--- a/gateway/src/resp/session/tests.rs
+++ b/gateway/src/resp/session/tests.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_reply_to_a_probe_ends_nothing_and_may_report_the_load() {
+fn a_probe_reply_ends_no_attempt_and_may_report_the_load() {
     let mut session = session();
     let text = reply("p1", "yes", "report=util:0.5", b"");
     let Ok(StoreInput::LoadReport(load)) = handle(&mut session, &text, false) else { panic!("no report") };
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_copy_that_was_not_offered_cannot_be_current() {
+fn a_not_modified_reply_requires_an_offered_copy() {
     let text = reply("aa", "current", "-", b"");
     let mut session = session();
     let error = handle(&mut session, &text, false).expect_err("none was offered");
--- a/gateway/src/signed/issue.rs
+++ b/gateway/src/signed/issue.rs
@@ -20,31 +20,31 @@
     pub expires: u64,
 }
 
-/// Issues what `order` requests, for a holder of an issuing credential or an operator at the command line. `second`:
-/// the current Unix time.
+/// Issues what `issue_request` requests, for a holder of an issuing credential or an operator at the command line.
+/// `now_unix_s`: the current Unix time.
 pub fn issue(
     wire_settings: &WireSettings,
     front: &FrontSettings,
-    order: &Value,
-    second: u64,
+    issue_request: &Value,
+    now_unix_s: u64,
 ) -> Result<Issued, IssueError> {
-    let path = text(order, "path")?.ok_or(IssueError::PathMissing)?;
+    let path = text(issue_request, "path")?.ok_or(IssueError::PathMissing)?;
     parse_path(wire_settings, front, path)?;
-    let lifetime_s = integer(order, "expires_in", DEFAULT_LIFETIME_S, 1)?;
+    let lifetime_s = integer(issue_request, "expires_in", DEFAULT_LIFETIME_S, 1)?;
     if lifetime_s > front.max_lifetime_s {
         return Err(IssueError::LifetimeTooLong(front.max_lifetime_s));
     }
-    let not_before = match get(order, "not_before") {
+    let not_before = match get(issue_request, "not_before") {
         None => None,
-        Some(_) => Some(integer(order, "not_before", 0, 0)?),
+        Some(_) => Some(integer(issue_request, "not_before", 0, 0)?),
     };
-    let method = text(order, "method")?.unwrap_or("GET");
+    let method = text(issue_request, "method")?.unwrap_or("GET");
     if method != "GET" && method != "HEAD" {
         return Err(IssueError::Method);
     }
-    let key = text(order, "key")?;
-    let expires = second + lifetime_s;
-    let url = match text(order, "kind")?.unwrap_or("url") {
+    let key = text(issue_request, "key")?;
+    let expires = now_unix_s + lifetime_s;
+    let url = match text(issue_request, "kind")?.unwrap_or("url") {
         "url" => {
             let grant = link::Grant { method, path, expires, not_before };
             format!("{}{}", front.base, link::issue(&front.keys, key, &grant)?)
--- a/gateway/src/signed/link.rs
+++ b/gateway/src/signed/link.rs
@@ -35,8 +35,8 @@
     (number.to_string() == text).then_some(number)
 }
 
-/// Checks a link at the Unix time `second`. Rejects a signature for another method, path, time or key.
-pub fn check(keys: &Keys, method: &str, path: &str, query: &str, second: u64) -> Result<(), Denied> {
+/// Checks a link at the Unix time `now_unix_s`. Rejects a signature for another method, path, time or key.
+pub fn check(keys: &Keys, method: &str, path: &str, query: &str, now_unix_s: u64) -> Result<(), Denied> {
     let (signed, signature) = query.rsplit_once("&Signature=").ok_or(Denied::Unsigned)?;
     let mut fields = signed.split('&').map(|field| field.split_once('=').unwrap_or((field, "")));
     let number = |field: Option<(&str, &str)>, name| match field {
@@ -61,7 +61,7 @@
     if !(is_signed_for(method) || method == "HEAD" && is_signed_for("GET")) {
         return Err(Denied::InvalidSignature);
     }
-    check_time(second, Some(expires), not_before)
+    check_time(now_unix_s, Some(expires), not_before)
 }
 
 #[cfg(test)]
--- a/gateway/src/signed/request.rs
+++ b/gateway/src/signed/request.rs
@@ -54,6 +54,6 @@
 pub(super) fn contains_tag(client_tags: &str, tag: &str) -> bool {
     client_tags
         .split(',')
-        .map(|one| one.trim().trim_start_matches("W/").trim_matches('"'))
-        .any(|one| one == "*" || one == tag)
+        .map(|client_tag| client_tag.trim().trim_start_matches("W/").trim_matches('"'))
+        .any(|client_tag| client_tag == "*" || client_tag == tag)
 }
--- a/gateway/src/signed/session/tests.rs
+++ b/gateway/src/signed/session/tests.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_request_waits_for_the_reply_to_the_one_before_and_its_wait_counts() {
+fn a_pipelined_request_waits_for_the_earlier_reply_and_its_wait_reduces_the_timeout() {
     let (front, settings) = (front(), wire_settings());
     let context = context(&front, &settings);
     let (mut session, mut output) = (Session::default(), Vec::new());
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_pass_is_answered_with_its_status() {
+fn a_request_that_is_not_admitted_is_answered_with_its_status() {
     let (front, settings) = (front(), wire_settings());
     let context = context(&front, &settings);
     let cases = [
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_reply_that_is_rejected_advises_a_retry_where_it_may_and_ends_a_process_that_stops() {
+fn a_rejection_advises_a_retry_if_allowed_and_closes_the_connection_on_shutdown() {
     let (front, settings) = (front(), wire_settings());
     let context = context(&front, &settings);
     let (mut session, mut output) = (Session::default(), Vec::new());
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_client_is_invited_once_to_send_its_body() {
+fn a_client_is_sent_100_continue_once() {
     let (front, settings) = (front(), wire_settings());
     let context = context(&front, &settings);
     let (mut session, mut output) = (Session::default(), Vec::new());
--- a/gateway/src/signed/token.rs
+++ b/gateway/src/signed/token.rs
@@ -87,9 +87,9 @@
     Err(Denied::Malformed)
 }
 
-/// Checks a token for a URI, given without the token, at the Unix time `second`. A token with an unsupported
+/// Checks a token for a URI, given without the token, at the Unix time `now_unix_s`. A token with an unsupported
 /// restricting claim is rejected, as the RFC requires.
-pub fn check(keys: &Keys, parties: &Parties, token: &str, uri: &str, second: u64) -> Result<(), Denied> {
+pub fn check(keys: &Keys, parties: &Parties, token: &str, uri: &str, now_unix_s: u64) -> Result<(), Denied> {
     let claims = verified_claims(keys, token)?;
     let text = |key| json_fields::text(&claims, key).map_err(|_| Denied::Malformed);
     // Fractions of a second are rounded so that the validity period does not become longer.
@@ -100,13 +100,13 @@
         return Err(Denied::UnsatisfiedClaim);
     }
     let audience = audience(&claims)?;
-    if !audience.is_empty() && !audience.iter().any(|one| Some(one) == parties.audience.as_ref()) {
+    if !audience.is_empty() && !audience.iter().any(|name| Some(name) == parties.audience.as_ref()) {
         return Err(Denied::UnsatisfiedClaim);
     }
     if !contains(text("cdniuc")?.ok_or(Denied::Malformed)?, uri)? {
         return Err(Denied::OtherUri);
     }
-    check_time(second, expires, not_before)
+    check_time(now_unix_s, expires, not_before)
 }
 
 /// Verifies the signature of a token and returns its claims.
@@ -163,7 +163,7 @@
 fn audience(claims: &Value) -> Result<Vec<String>, Denied> {
     match get(claims, "aud") {
         None => Ok(Vec::new()),
-        Some(Value::String(one)) => Ok(vec![one.clone()]),
+        Some(Value::String(name)) => Ok(vec![name.clone()]),
         Some(_) => json_fields::texts(claims, "aud").map_err(|_| Denied::Malformed),
     }
 }
--- a/gateway/src/slots/tests.rs
+++ b/gateway/src/slots/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_late_key_does_not_find_the_next_entry_of_its_slot() {
+fn a_stale_key_does_not_find_a_later_entry_in_its_slot() {
     let mut slots = Slots::default();
     let old_key = slots.insert('a');
     assert_eq!(slots.remove(old_key), Some('a'));
--- a/gateway/src/thrift/session/tests.rs
+++ b/gateway/src/thrift/session/tests.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_malformed_request_and_an_unknown_method_are_answered_and_the_connection_goes_on() {
+fn a_malformed_request_and_an_unknown_method_are_answered_and_the_connection_stays_open() {
     let settings = wire_settings();
     let (mut session, mut output) = (Session::default(), Vec::new());
     let faults = [
