--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -2,8 +2,8 @@
 use super::origin::OriginFetch;
 use super::requests::OpenRequest;
 use super::Core;
-use crate::deadlines::Due;
-use crate::slots::Key;
+use crate::deadlines::DeadlineKind;
+use crate::slots::SlotKey;
 use crate::system_errors::backoff;
 use larchway::{Effect, Get, MonotonicTime, ServerId, Status};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// An attempt that has not ended.
 pub struct Attempt {
     /// The request that it belongs to.
-    pub(super) request: Key,
+    pub(super) request: SlotKey,
     /// Its number among the attempts of that request.
     pub(super) number: u64,
     /// The decision of the module: the store, the source and the conditions.
@@ -28,7 +28,7 @@
     /// When its first byte was written; none before that.
     pub(super) first_byte_at: Option<MonotonicTime>,
     /// The connection that carries it; none while it waits for one.
-    pub connection: Option<Key>,
+    pub connection: Option<SlotKey>,
     /// Whether it was moved once from a broken connection to another one.
     pub(super) reconnected: bool,
     /// The fetch from the origin that the shield has admitted for it, if it needs one.
@@ -39,7 +39,7 @@
     /// An attempt created now, of which nothing is written yet.
     pub(super) fn new(
         now: MonotonicTime,
-        request: Key,
+        request: SlotKey,
         number: u64,
         get: Get,
         fetch: Option<OriginFetch>,
@@ -66,7 +66,7 @@
     /// Whether the first byte of an attempt may be written now; withdraws the attempt if not. While it waited for its
     /// connection, its client may have left or been answered, its deadline may have passed, or stores may have
     /// forgotten its idempotency key, so that a retry would run twice.
-    pub fn may_send(&mut self, now: MonotonicTime, key: Key) -> bool {
+    pub fn may_send(&mut self, now: MonotonicTime, key: SlotKey) -> bool {
         let Some(attempt) = self.attempts.get(key) else { return false };
         let is_sendable = self.requests.get(attempt.request).is_some_and(|open| {
             !open.answered
@@ -93,7 +93,7 @@
     }
 
     /// Records that the first byte of an attempt is written.
-    pub fn record_first_byte(&mut self, now: MonotonicTime, key: Key) {
+    pub fn record_first_byte(&mut self, now: MonotonicTime, key: SlotKey) {
         self.unsent_attempts.remove(&key);
         if let Some(attempt) = self.attempts.get_mut(key) {
             attempt.first_byte_at = Some(now);
@@ -101,51 +101,51 @@
     }
 
     /// Whether an attempt belongs to a class whose requests are not idempotent by themselves.
-    pub fn has_side_effects(&self, key: Key) -> bool {
+    pub fn has_side_effects(&self, key: SlotKey) -> bool {
         let class = self.request_of(key).and_then(|open| self.classes.get(open.request.class));
         class.is_some_and(|slot| slot.settings.class.effect != Effect::Idempotent)
     }
 
     /// The attempt, if it has not ended.
-    pub fn attempt(&mut self, key: Key) -> Option<&mut Attempt> {
+    pub fn attempt(&mut self, key: SlotKey) -> Option<&mut Attempt> {
         self.attempts.get_mut(key)
     }
 
     /// The store that an attempt goes to, and the call id under which it is sent.
-    pub fn target(&self, key: Key) -> Option<(ServerId, &str)> {
+    pub fn target(&self, key: SlotKey) -> Option<(ServerId, &str)> {
         let attempt = self.attempts.get(key)?;
         Some((attempt.get.server, &self.requests.get(attempt.request)?.request.call_id))
     }
 
     /// The connection of the client whose request an attempt belongs to, while the client waits for its reply.
-    pub fn client_connection(&self, key: Key) -> Option<Key> {
+    pub fn client_connection(&self, key: SlotKey) -> Option<SlotKey> {
         self.request_of(key).filter(|open| !open.answered).map(|open| open.reply_to.connection)
     }
 
-    fn request_of(&self, key: Key) -> Option<&OpenRequest> {
+    fn request_of(&self, key: SlotKey) -> Option<&OpenRequest> {
         self.attempts.get(key).and_then(|attempt| self.requests.get(attempt.request))
     }
 
     /// Whether the client stated the entity tag of its own copy, so that the store may reply that it is current.
-    pub fn has_client_tag(&self, key: Key) -> bool {
+    pub fn has_client_tag(&self, key: SlotKey) -> bool {
         self.request_of(key).is_some_and(|open| open.request.client_tag.is_some())
     }
 
     /// Whether an attempt whose connection broke before a byte was written may use another connection. Returns true
     /// only once per attempt.
-    pub fn reconnect_once(&mut self, key: Key) -> bool {
+    pub fn reconnect_once(&mut self, key: SlotKey) -> bool {
         self.attempts.get_mut(key).is_some_and(|attempt| !std::mem::replace(&mut attempt.reconnected, true))
     }
 
     /// Sends an attempt again after a backoff, because this machine had no capacity to connect for it. Returns false
     /// once `max_wait` has passed since the attempt was created: another store may have a connection.
-    pub fn resend_after_backoff(&mut self, now: MonotonicTime, key: Key, max_wait: Duration) -> bool {
+    pub fn resend_after_backoff(&mut self, now: MonotonicTime, key: SlotKey, max_wait: Duration) -> bool {
         let Some(attempt) = self.attempts.get(key) else { return false };
         let waited = now.saturating_since(attempt.created_at);
         if waited >= max_wait {
             return false;
         }
-        self.deadlines.set(now + backoff(waited), Due::Dispatch(key));
+        self.deadlines.set(now + backoff(waited), DeadlineKind::Dispatch(key));
         true
     }
 }
--- a/gateway/src/core/endpoints.rs
+++ b/gateway/src/core/endpoints.rs
@@ -3,7 +3,7 @@
 use super::attempts::Attempt;
 use super::Core;
 use crate::bulletin::Change;
-use crate::slots::Key;
+use crate::slots::SlotKey;
 use larchway::purges::PurgeTarget;
 use larchway::{
     DatedStart, Event, Members, MonotonicTime, ParentWeights, RejectionCounts, Scope, ServerId, State, Status,
@@ -50,11 +50,11 @@
 
     /// Withdraws the attempts that a change invalidates and of which no byte is written.
     fn withdraw_affected(&mut self, now: MonotonicTime, change: &Change) {
-        let is_affected = |key: &Key| {
+        let is_affected = |key: &SlotKey| {
             let attempt = self.attempts.get(*key);
             attempt.is_some_and(|attempt| attempt.first_byte_at.is_none() && self.affects(change, attempt))
         };
-        let affected: Vec<Key> = self.unsent_attempts.iter().copied().filter(is_affected).collect();
+        let affected: Vec<SlotKey> = self.unsent_attempts.iter().copied().filter(is_affected).collect();
         for key in affected {
             self.withdraw(now, key, Status::NeverSent);
         }
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -3,8 +3,8 @@
 use super::{AttemptResult, Command, Core, FailureCause, ReplyHandle, Request};
 use crate::bulletin::Change;
 use crate::clock::wire::CopyTimes;
-use crate::deadlines::Due;
-use crate::slots::Key;
+use crate::deadlines::DeadlineKind;
+use crate::slots::SlotKey;
 use crate::wire_settings::ClassSettings;
 use larchway::{Class, Effect, Host, MonotonicTime, Note, ServerId, Settings, State, Status};
 use larchway_endpoints::{Endpoint, ListScope};
@@ -66,7 +66,7 @@
 }
 
 fn reply_to(sequence: u64) -> ReplyHandle {
-    ReplyHandle { connection: Key(9), sequence }
+    ReplyHandle { connection: SlotKey(9), sequence }
 }
 
 fn new_request(class: usize, object: u64) -> Request {
@@ -80,7 +80,7 @@
     }
 }
 
-fn take_sent(core: &mut Core) -> Vec<Key> {
+fn take_sent(core: &mut Core) -> Vec<SlotKey> {
     let commands = std::mem::take(&mut core.commands);
     commands
         .into_iter()
@@ -93,7 +93,7 @@
     let mut core = configured_core();
     core.request(START, reply_to(1), new_request(0, 7));
     let waiting = take_sent(&mut core)[0];
-    core.attempt(waiting).expect("there").connection = Some(Key(5));
+    core.attempt(waiting).expect("there").connection = Some(SlotKey(5));
     let (server, _) = core.target(waiting).expect("a target");
     core.apply_event(
         START + MICROSECOND,
@@ -241,7 +241,7 @@
     assert_eq!(core.end_attempt(START + 5 * MICROSECOND, first, Status::Ok, Note::Hit), Some(reply_to(1)));
     assert_eq!(core.end_attempt(START + 6 * MICROSECOND, first, Status::Ok, Note::Hit), None);
     core.client_left(START + 7 * MICROSECOND, request);
-    core.handle_deadline(START + 6000 * MS, Due::Request(request));
+    core.handle_deadline(START + 6000 * MS, DeadlineKind::Request(request));
     let finals = core
         .commands
         .iter()
@@ -256,12 +256,12 @@
     let request = core.request(START, reply_to(1), new_request(0, 7)).expect("taken");
     let key = take_sent(&mut core)[0];
     let attempt = core.attempt(key).expect("there");
-    (attempt.first_byte_at, attempt.connection) = (Some(START), Some(Key(5)));
+    (attempt.first_byte_at, attempt.connection) = (Some(START), Some(SlotKey(5)));
     let at = core
         .deadlines
         .next()
         .map_or(MonotonicTime::MIN, |next| next.max(START + 6000 * MS - LONGEST_REPLY_MARGIN));
-    core.handle_deadline(at, Due::Request(request));
+    core.handle_deadline(at, DeadlineKind::Request(request));
     assert!(at < START + 6000 * MS, "before the client gives up");
     let commands: Vec<Command> = core.commands.drain(..).collect();
     assert!(commands
@@ -316,7 +316,7 @@
 }
 
 /// Takes the attempts that are to be sent, and counts the rejections and failures among the commands.
-fn take_sent_and_count_replies(core: &mut Core, answered: &mut u64) -> Vec<Key> {
+fn take_sent_and_count_replies(core: &mut Core, answered: &mut u64) -> Vec<SlotKey> {
     let finals = core
         .commands
         .iter()
@@ -343,8 +343,8 @@
         let mut cached = 0;
         let (mut at, mut received, mut left) = (START, 0u64, 0u64);
         let mut expected = [0u64; 3];
-        let mut requests: Vec<Key> = Vec::new();
-        let mut attempts: Vec<Key> = Vec::new();
+        let mut requests: Vec<SlotKey> = Vec::new();
+        let mut attempts: Vec<SlotKey> = Vec::new();
         for step in 0..400 {
             at += Duration::from_millis(draw(40));
             match draw(10) {
@@ -425,11 +425,11 @@
     let refused =
         core.commands.iter().filter(|command| matches!(command, Command::ReplyRejected(..))).count();
     let out = take_sent(&mut core);
-    let fetches = |core: &Core, key: &Key| {
+    let fetches = |core: &Core, key: &SlotKey| {
         core.store_request(START, *key)
             .is_some_and(|p| p.source.is_some_and(|s| s == "s-50" || s == "s-90") && !p.cached_only)
     };
-    let fills: Vec<Key> = out.iter().copied().filter(|key| fetches(&core, key)).collect();
+    let fills: Vec<SlotKey> = out.iter().copied().filter(|key| fetches(&core, key)).collect();
     assert_eq!((fills.len(), out.len() + refused), (2, 10));
     assert!(core.shield().is_some_and(|s| s.in_flight() == 2 && s.in_flight() <= s.limit()));
     for key in fills {
--- a/gateway/src/deadlines.rs
+++ b/gateway/src/deadlines.rs
@@ -1,56 +1,56 @@
-//! All deadlines of an event loop, ordered by time.
-use crate::slots::Key;
+//! The deadlines of an event loop, ordered by time.
+use crate::slots::SlotKey;
 use larchway::MonotonicTime;
 use std::collections::BTreeSet;
 
-/// What is due at a deadline.
+/// What has to be done when a deadline expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// A request must have its final answer.
-    Request(Key),
-    /// An attempt is to be abandoned.
-    Attempt(Key),
-    /// An attempt for which this machine lacked a resource to connect is to be sent again.
-    Dispatch(Key),
-    /// The decision module is to be called, with this mark of its own.
+pub enum DeadlineKind {
+    /// Send the final reply to a request.
+    Request(SlotKey),
+    /// Abandon an attempt.
+    Attempt(SlotKey),
+    /// Retry to connect for an attempt after a local shortage.
+    Dispatch(SlotKey),
+    /// Call the decision module with this mark, which the module chose.
     Module(u64),
-    /// A timeout of a connection: to be established, to be idle or to make progress.
-    Connection(Key),
-    /// The source of events has been silent, or it is time to dial it.
+    /// Check the time-outs of a connection: for connecting, for progress and for idleness.
+    Connection(SlotKey),
+    /// Handle the silence of the source of events, or connect to it.
     Events,
-    /// A request for events for which this machine lacked a resource to connect is made again.
-    EventsCall,
-    /// A connect to the ensemble for which this machine lacked a resource is made again.
+    /// Retry to connect to the source of events after a local shortage.
+    EventsConnect,
+    /// Retry to connect to the ensemble after a local shortage.
     EnsembleConnect,
-    /// The admin socket for which this machine lacked a resource is opened again.
+    /// Retry to open the admin socket after a local shortage.
     Admin,
-    /// A reload for whose listeners this machine lacked a resource is tried again.
+    /// Retry a reload after a local shortage.
     Reload,
-    /// Documents for which this machine lacked a resource are tried again.
+    /// Try the remaining documents, or retry documents after a local shortage.
     Documents,
-    /// Membership: the session's next call or ping, or the state of a store that time alone may change.
+    /// Membership: send the session's next request or ping, or expire the state of a store.
     Membership,
-    /// The hierarchy: the next step of a migration.
+    /// Hierarchy: take the next step of a migration.
     Hierarchy,
-    /// A timeout of a caller of the console, or its address is to be tried again.
+    /// Handle a time-out of a caller of the console, or retry to bind the console's address.
     Console,
-    /// A manual ejection that another process reported expires.
+    /// Expire a manual ejection that another process reported.
     ManualEjection,
-    /// An operator must be answered although what the call changed is not durable.
-    Saves,
-    /// The cluster's view of the stores' load: decide, and notify peers.
+    /// Answer an operator's call although its change is not durable yet.
+    DeferredReplies,
+    /// Exchange with the other gateways: decide on load sharing and send gossip.
     Peers,
-    /// Clients may be accepted again: there may be a descriptor for them.
+    /// Resume accepting clients after a shortage of descriptors.
     Accept,
-    /// The time for accepting after SIGTERM is over.
-    Stop,
+    /// Stop accepting clients: the grace period after SIGTERM is over.
+    StopAccepting,
 }
 
-/// A deadline. Those of the same time are ordered by what is due.
+/// A deadline. Deadlines at the same time are ordered by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     due_at: MonotonicTime,
-    due: Due,
+    kind: DeadlineKind,
 }
 
 /// Deadlines, ordered by time.
@@ -59,25 +59,30 @@
 
 impl Deadlines {
     /// Adds a deadline.
-    pub fn set(&mut self, due_at: MonotonicTime, due: Due) {
-        self.0.insert(Deadline { due_at, due });
+    pub fn set(&mut self, due_at: MonotonicTime, kind: DeadlineKind) {
+        self.0.insert(Deadline { due_at, kind });
     }
 
     /// Cancels a deadline.
-    pub fn clear(&mut self, due_at: MonotonicTime, due: Due) {
-        self.0.remove(&Deadline { due_at, due });
+    pub fn clear(&mut self, due_at: MonotonicTime, kind: DeadlineKind) {
+        self.0.remove(&Deadline { due_at, kind });
     }
 
-    /// Sets, moves or cancels a deadline whose time the caller stores in `current`, so that it is due at `wanted`.
-    pub fn shift(&mut self, current: &mut Option<MonotonicTime>, wanted: Option<MonotonicTime>, due: Due) {
+    /// Sets, moves or cancels the deadline whose time the caller stores in `current`, so that it expires at `wanted`.
+    pub fn reschedule(
+        &mut self,
+        current: &mut Option<MonotonicTime>,
+        wanted: Option<MonotonicTime>,
+        kind: DeadlineKind,
+    ) {
         if *current == wanted {
             return;
         }
         if let Some(former) = std::mem::replace(current, wanted) {
-            self.clear(former, due);
+            self.clear(former, kind);
         }
         if let Some(due_at) = wanted {
-            self.set(due_at, due);
+            self.set(due_at, kind);
         }
     }
 
@@ -86,11 +91,11 @@
         self.0.first().map(|deadline| deadline.due_at)
     }
 
-    /// Removes the earliest deadline if it has come.
-    pub fn pop(&mut self, now: MonotonicTime) -> Option<Due> {
+    /// Removes and returns the earliest deadline if it has expired.
+    pub fn pop(&mut self, now: MonotonicTime) -> Option<DeadlineKind> {
         if self.next()? > now {
             return None;
         }
-        self.0.pop_first().map(|deadline| deadline.due)
+        self.0.pop_first().map(|deadline| deadline.kind)
     }
 }
--- a/gateway/src/net/connections.rs
+++ b/gateway/src/net/connections.rs
@@ -1,16 +1,16 @@
-//! Connections of every role: registration with the poller, reading, writing, timeouts and closing.
+//! Connections of every role: registration with the poller, reading, writing, time-outs and closing.
 use super::clients::SMALL_ANSWER_BYTES;
 use super::errors::CloseReason;
 use super::poll_key::PollKey;
-use super::{Gateway, LONGEST_TURN};
+use super::{Gateway, MAX_ITERATION_TIME};
 use crate::connection::{
-    Buffer, ConnectFailure, Connection, ConnectionState, Interest, Role, Timeouts, MAX_BYTES_A_TURN,
-    MAX_PENDING_BYTES, MESSAGE_TIMEOUT, UNREAD_ANSWERS_TIMEOUT,
+    Buffer, ConnectFailure, Connection, ConnectionState, Interest, Role, Timeouts, MAX_BACKLOG_BYTES,
+    MAX_BYTES_PER_ITERATION, MESSAGE_TIMEOUT, UNREAD_ANSWERS_TIMEOUT,
 };
-use crate::deadlines::Due;
+use crate::deadlines::DeadlineKind;
 use crate::nonblocking::{read_once, write_available, ReadOutcome};
 use crate::resp;
-use crate::slots::Key;
+use crate::slots::SlotKey;
 use crate::sockets::begin_connect;
 use crate::system_errors::{is_reset, Failure};
 use larchway::MonotonicTime;
@@ -18,18 +18,18 @@
 use std::net::{SocketAddr, TcpStream};
 use tracing::{error, warn};
 
-/// Bytes asked for by one read while little has come in.
-const FIRST_READ_BYTES: usize = 8 * 1024;
-/// Bytes asked for by one read in the midst of a large message.
+/// Size of one read while the input buffer holds at most this number of bytes.
+const SMALL_READ_BYTES: usize = 8 * 1024;
+/// Size of one read while the input buffer holds more, as within a large message.
 pub(super) const LARGE_READ_BYTES: usize = 64 * 1024;
 
 impl Gateway {
-    /// Lets the next request on a connection have its turn.
-    pub(super) fn resume(&mut self, key: Key) {
+    /// Schedules a connection for parsing of the input that is already buffered.
+    pub(super) fn resume(&mut self, key: SlotKey) {
         self.resumable.push(key);
     }
 
-    /// Counts a connection, gives it a slot and has it polled; `deadline`: when it is first looked at.
+    /// Counts a connection, stores it in a slot and registers it with the poller. `deadline`: its first time-out check.
     pub(super) fn register(
         &mut self,
         now: MonotonicTime,
@@ -37,7 +37,7 @@
         role: Role,
         state: ConnectionState,
         deadline: MonotonicTime,
-    ) -> Option<Key> {
+    ) -> Option<SlotKey> {
         match role {
             Role::Store(_) => self.store_connection_count += 1,
             Role::PlatformClient(_) | Role::SignedClient(_) => self.client_count += 1,
@@ -61,7 +61,7 @@
             deadline,
             counted_bytes: 0,
         });
-        self.core.deadlines.set(deadline, Due::Connection(key));
+        self.core.deadlines.set(deadline, DeadlineKind::Connection(key));
         let conn = self.connections.get(key)?;
         let event = poll_event(key, polled_interest);
         if let Err(error) = self.poller.add_with_mode(&conn.stream, event, PollMode::Level) {
@@ -72,18 +72,18 @@
         Some(key)
     }
 
-    /// Begins to connect; the connection comes up later or fails. An error is that of this machine or of the other
-    /// side.
+    /// Starts to connect and registers the connection; `due`: the connect time-out. The outcome is handled later; an
+    /// error means that connecting could not be started.
     pub(super) fn connect(
         &mut self,
         now: MonotonicTime,
         address: SocketAddr,
         role: Role,
         due: MonotonicTime,
-    ) -> Result<Key, ConnectFailure> {
+    ) -> Result<SlotKey, ConnectFailure> {
         match begin_connect(address) {
             Ok(stream) => self
-                .register(now, stream, role, ConnectionState::Dialling, due)
+                .register(now, stream, role, ConnectionState::Connecting, due)
                 .ok_or(ConnectFailure::LocalShortage),
             Err(error) => {
                 warn!(%error, "cannot connect to {address}");
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Serves a connection that the poller found readable or writable.
-    pub(super) fn handle_connection_event(&mut self, now: MonotonicTime, key: Key, event: &Event) {
+    /// Handles the readiness of a connection that the poller reported.
+    pub(super) fn handle_connection_event(&mut self, now: MonotonicTime, key: SlotKey, event: &Event) {
         let Some(conn) = self.connections.get(key) else { return };
         if !conn.state.is_connected() && !self.finish_connecting(now, key, event.writable) {
             return;
@@ -112,8 +112,8 @@
         self.update_interest(key);
     }
 
-    /// Looks how far a connection that is being dialled has come. Returns whether it has not failed.
-    fn finish_connecting(&mut self, now: MonotonicTime, key: Key, writable: bool) -> bool {
+    /// Checks the progress of a connect. Returns false if it failed and the connection was closed.
+    fn finish_connecting(&mut self, now: MonotonicTime, key: SlotKey, writable: bool) -> bool {
         let Some(conn) = self.connections.get_mut(key) else { return false };
         match conn.stream.take_error() {
             Ok(None) if writable && conn.stream.peer_addr().is_ok() => {
@@ -131,7 +131,7 @@
             }
             Ok(None) => true,
             Ok(Some(e)) | Err(e) => {
-                // One that is refused proves that nothing runs there; one that is reset had come up.
+                // A reset shows that the connection had been established; a refusal shows that nothing listens there.
                 if is_reset(&e) {
                     conn.state = ConnectionState::Open;
                 }
@@ -141,18 +141,18 @@
         }
     }
 
-    /// Reads what has come in on a connection, takes the messages off it that are complete, and ends the connection
-    /// where the other side has, or where a message is malformed.
-    pub(super) fn read(&mut self, now: MonotonicTime, key: Key) {
+    /// Reads available bytes, handles the complete messages in them, and closes the connection if the peer has closed
+    /// it or a message is malformed.
+    pub(super) fn read(&mut self, now: MonotonicTime, key: SlotKey) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         let is_client = conn.role.is_client();
         let mut input = std::mem::take(&mut conn.input);
         let end_reason = read_available(now, conn, &mut input, &mut self.read_buffer);
-        // What a client asked for that has left meanwhile is not begun; a store's last answers count.
+        // Requests of a client that has disconnected are not begun; the last replies of a store are still handled.
         let client_left = is_client && end_reason.is_some();
-        let malformed = if client_left { None } else { self.parse_messages(now, key, &mut input).err() };
+        let malformed = if client_left { None } else { self.handle_messages(now, key, &mut input).err() };
         input.compact();
-        self.keep_input(now, key, input);
+        self.store_unprocessed_input(now, key, input);
         self.update_client_bytes(key);
         self.enforce_client_bytes(now);
         if let Some(reason) = malformed {
@@ -167,11 +167,11 @@
         }
     }
 
-    /// Leaves bytes that are not dealt with to the next read, and sees to it that a message that is cut short is
-    /// noticed.
-    fn keep_input(&mut self, now: MonotonicTime, key: Key, input: Buffer) {
+    /// Stores unprocessed input for the next read, and moves the deadline forward if needed, so that an incomplete
+    /// message times out.
+    fn store_unprocessed_input(&mut self, now: MonotonicTime, key: SlotKey, input: Buffer) {
         let Some(conn) = self.connections.get_mut(key) else { return };
-        let is_incomplete = !input.rest().is_empty();
+        let is_incomplete = !input.remaining().is_empty();
         conn.incomplete_since = is_incomplete.then(|| conn.incomplete_since.unwrap_or(now));
         conn.input = input;
         let complete_by = match conn.role {
@@ -180,40 +180,42 @@
             _ => MonotonicTime::MAX,
         };
         if is_incomplete && conn.deadline > complete_by {
-            self.core.deadlines.clear(conn.deadline, Due::Connection(key));
+            self.core.deadlines.clear(conn.deadline, DeadlineKind::Connection(key));
             conn.deadline = complete_by;
-            self.core.deadlines.set(conn.deadline, Due::Connection(key));
+            self.core.deadlines.set(conn.deadline, DeadlineKind::Connection(key));
         }
     }
 
-    /// Takes complete messages off the input, each by the codec of the connection.
-    fn parse_messages(
+    /// Decodes and handles the complete messages of the input, with the codec of the connection's role.
+    fn handle_messages(
         &mut self,
         now: MonotonicTime,
-        key: Key,
+        key: SlotKey,
         input: &mut Buffer,
     ) -> Result<(), CloseReason> {
         loop {
             let Some(conn) = self.connections.get_mut(key) else { return Ok(()) };
             if conn.state.ignores_input() {
-                input.consume(input.rest().len());
+                input.consume(input.remaining().len());
                 return Ok(());
             }
             let parsed = match &mut conn.role {
-                Role::SignedClient(_) => Ok(self.handle_signed_input(now, key, input.rest())),
+                Role::SignedClient(_) => Ok(self.handle_signed_input(now, key, input.remaining())),
                 Role::PlatformClient(_) => {
-                    self.handle_platform_input(now, key, input.rest()).map_err(CloseReason::from)
+                    self.handle_platform_input(now, key, input.remaining()).map_err(CloseReason::from)
+                }
+                Role::Store(_) => {
+                    self.handle_store_input(now, key, input.remaining()).map_err(CloseReason::from)
                 }
-                Role::Store(_) => self.handle_store_input(now, key, input.rest()).map_err(CloseReason::from),
                 Role::Ensemble => {
-                    let effects = self.membership.as_mut().map(|m| m.handle_bytes(now, input.rest()));
+                    let effects = self.membership.as_mut().map(|m| m.handle_bytes(now, input.remaining()));
                     self.apply_membership_effects(now, effects.unwrap_or_default());
-                    Ok(input.rest().len())
+                    Ok(input.remaining().len())
                 }
                 Role::Events => {
-                    let effects = self.events.take_bytes(now, input.rest(), &self.wire_settings);
+                    let effects = self.events.take_bytes(now, input.remaining(), &self.wire_settings);
                     self.apply_event_effects(now, effects);
-                    Ok(input.rest().len())
+                    Ok(input.remaining().len())
                 }
             };
             let used = parsed?;
@@ -227,11 +229,11 @@
         }
     }
 
-    /// Writes what can be written. Returns whether the connection still stands.
-    pub(super) fn flush(&mut self, now: MonotonicTime, key: Key) -> bool {
+    /// Writes as much output as the socket accepts. Returns whether the connection is still open.
+    pub(super) fn flush(&mut self, now: MonotonicTime, key: SlotKey) -> bool {
         let Some(conn) = self.connections.get_mut(key) else { return false };
-        if conn.state.is_connected() && !conn.output.rest().is_empty() {
-            match write_available(&conn.stream, conn.output.rest()) {
+        if conn.state.is_connected() && !conn.output.remaining().is_empty() {
+            match write_available(&conn.stream, conn.output.remaining()) {
                 Ok(0) => {}
                 Ok(count) => {
                     conn.output.consume(count);
@@ -246,8 +248,8 @@
         conn.output.compact();
         self.update_client_bytes(key);
         let Some(conn) = self.connections.get_mut(key) else { return false };
-        let all_written = conn.output.rest().is_empty();
-        if all_written && conn.state == ConnectionState::Finishing && conn.role.awaits_nothing() {
+        let all_written = conn.output.remaining().is_empty();
+        if all_written && conn.state == ConnectionState::Finishing && conn.role.is_client_without_requests() {
             self.half_close(now, key);
         }
         let Some(conn) = self.connections.get_mut(key) else { return false };
@@ -258,19 +260,21 @@
                 }
                 self.send_waiting(now, key);
             }
-            // A request that waited for earlier answers to be read has its turn.
-            Role::SignedClient(_) if all_written && !conn.input.rest().is_empty() => self.resumable.push(key),
+            // A buffered request that waited for the client to read earlier replies can be handled now.
+            Role::SignedClient(_) if all_written && !conn.input.remaining().is_empty() => {
+                self.resumable.push(key);
+            }
             _ => {}
         }
         self.update_interest(key);
         true
     }
 
-    /// Has a connection polled for what it waits for now.
-    pub(super) fn update_interest(&mut self, key: Key) {
+    /// Updates the events that a connection is polled for.
+    pub(super) fn update_interest(&mut self, key: SlotKey) {
         let memory_is_scarce = self.client_bytes > self.max_client_bytes / 8 * 7;
         let Some(conn) = self.connections.get_mut(key) else { return };
-        let interest = conn.interest(if memory_is_scarce { SMALL_ANSWER_BYTES } else { MAX_PENDING_BYTES });
+        let interest = conn.interest(if memory_is_scarce { SMALL_ANSWER_BYTES } else { MAX_BACKLOG_BYTES });
         if interest != conn.polled_interest {
             conn.polled_interest = interest;
             let event = poll_event(key, interest);
@@ -280,13 +284,13 @@
         }
     }
 
-    /// Closes a connection and ends what it carried.
-    pub(super) fn close(&mut self, now: MonotonicTime, key: Key, reason: Option<&CloseReason>) {
+    /// Closes a connection and ends its requests or attempts.
+    pub(super) fn close(&mut self, now: MonotonicTime, key: SlotKey, reason: Option<&CloseReason>) {
         let Some(conn) = self.connections.remove(key) else { return };
         self.client_bytes -= conn.counted_bytes;
         self.half_closed_count -= usize::from(matches!(conn.state, ConnectionState::HalfClosed { .. }));
-        self.core.deadlines.clear(conn.deadline, Due::Connection(key));
-        // A connection that is closed is no longer polled; there is nothing to do about an error here.
+        self.core.deadlines.clear(conn.deadline, DeadlineKind::Connection(key));
+        // The socket is closed below, which also ends polling, so an error has no effect.
         let _ = self.poller.delete(&conn.stream);
         match conn.role {
             Role::PlatformClient(session) => {
@@ -303,29 +307,36 @@
             }
             Role::Store(session) => {
                 self.store_connection_count -= 1;
-                self.end_store_connection(now, key, session, conn.state.is_connected(), &describe(reason));
+                self.end_store_connection(
+                    now,
+                    key,
+                    session,
+                    conn.state.is_connected(),
+                    &describe_close(reason),
+                );
             }
             Role::Ensemble if self.ensemble_connection == Some(key) => {
                 self.ensemble_connection = None;
                 let effects =
-                    self.membership.as_mut().map(|m| m.handle_connection_lost(now, &describe(reason)));
+                    self.membership.as_mut().map(|m| m.handle_connection_lost(now, &describe_close(reason)));
                 self.apply_membership_effects(now, effects.unwrap_or_default());
             }
-            // One that was left knows of it.
+            // Closed by the membership protocol itself, which needs no notification.
             Role::Ensemble => {}
             Role::Events if self.events_connection == Some(key) => {
-                warn!(reason = %describe(reason), "the bulletin is lost");
+                warn!(reason = %describe_close(reason), "the bulletin is lost");
                 self.events_connection = None;
                 let effects = self.events.disconnected(now);
                 self.apply_event_effects(now, effects);
             }
-            // One that was left knows of it.
+            // Closed by the event subscription itself, which needs no notification.
             Role::Events => {}
         }
     }
 
-    /// Looks whether a connection came up, moves on, or has been idle for too long.
-    pub(super) fn check_timeout(&mut self, now: MonotonicTime, key: Key) {
+    /// Closes a connection that was not established in time, stalls or has been idle for too long; otherwise sets its
+    /// next check.
+    pub(super) fn check_timeout(&mut self, now: MonotonicTime, key: SlotKey) {
         let timeouts =
             Timeouts { connect: self.wire_settings.connect_timeout, idle: self.wire_settings.idle_timeout };
         let Some(conn) = self.connections.get_mut(key) else { return };
@@ -334,9 +345,9 @@
             if conn.has_nothing_to_read() {
                 return self.half_close(now, key);
             }
-            // What has come meanwhile is read first.
-            conn.deadline = now + LONGEST_TURN;
-            return self.core.deadlines.set(conn.deadline, Due::Connection(key));
+            // Input has arrived meanwhile and is read first.
+            conn.deadline = now + MAX_ITERATION_TIME;
+            return self.core.deadlines.set(conn.deadline, DeadlineKind::Connection(key));
         }
         if limit <= now {
             let reason = match conn.incomplete_since {
@@ -344,9 +355,9 @@
                 Some(_) => CloseReason::MessageStalled,
                 None => CloseReason::Idle,
             };
-            // Answers may still be on their way to a client that is owed nothing more.
-            if conn.role.awaits_nothing()
-                && conn.output.rest().is_empty()
+            // The last replies may still be in transit to the client, so the connection is closed gracefully.
+            if conn.role.is_client_without_requests()
+                && conn.output.remaining().is_empty()
                 && conn.state == ConnectionState::Open
             {
                 return self.half_close(now, key);
@@ -354,15 +365,15 @@
             return self.close(now, key, Some(&reason));
         }
         conn.deadline = limit.min(now + UNREAD_ANSWERS_TIMEOUT);
-        self.core.deadlines.set(conn.deadline, Due::Connection(key));
+        self.core.deadlines.set(conn.deadline, DeadlineKind::Connection(key));
     }
 
-    /// Takes messages off the connections whose next request has its turn.
+    /// Handles buffered input of the connections that [`Self::resume`] scheduled.
     pub(super) fn resume_all(&mut self, now: MonotonicTime) {
         for key in std::mem::take(&mut self.resumable) {
             let Some(conn) = self.connections.get_mut(key) else { continue };
             let mut input = std::mem::take(&mut conn.input);
-            let malformed = self.parse_messages(now, key, &mut input).err();
+            let malformed = self.handle_messages(now, key, &mut input).err();
             if let Some(conn) = self.connections.get_mut(key) {
                 conn.input = input;
             }
@@ -374,19 +385,19 @@
     }
 }
 
-/// What the poller is to report of a connection.
-fn poll_event(key: Key, interest: Interest) -> Event {
+/// The poller's interest for a connection.
+fn poll_event(key: SlotKey, interest: Interest) -> Event {
     let Interest { readable, writable } = interest;
     Event { key: PollKey::Connection(key).into(), readable, writable }
 }
 
-/// Why a connection is closed, as text.
-fn describe(reason: Option<&CloseReason>) -> String {
+/// The text of a close reason for logs and effects.
+fn describe_close(reason: Option<&CloseReason>) -> String {
     reason.map_or_else(|| "closed".to_string(), CloseReason::to_string)
 }
 
-/// Reads until nothing more waits, or a turn's bytes are read. Returns why the connection has ended, if it has.
-/// `buffer`: what one read takes in, before it goes to the input.
+/// Reads until the socket has no more bytes or [`MAX_BYTES_PER_ITERATION`] are read. Returns why the connection has
+/// ended, if it has. `buffer`: scratch space for one read.
 fn read_available(
     now: MonotonicTime,
     conn: &mut Connection,
@@ -396,10 +407,10 @@
     let is_client = conn.role.is_client();
     let mut total_read = 0;
     conn.fully_read = false;
-    while total_read < MAX_BYTES_A_TURN {
-        // Large answers are taken in large pieces.
+    while total_read < MAX_BYTES_PER_ITERATION {
+        // Large messages are read in large pieces.
         let read_bytes =
-            if input.bytes.len() > FIRST_READ_BYTES { LARGE_READ_BYTES } else { FIRST_READ_BYTES };
+            if input.bytes.len() > SMALL_READ_BYTES { LARGE_READ_BYTES } else { SMALL_READ_BYTES };
         match read_once(&conn.stream, &mut buffer[..read_bytes]) {
             Ok(ReadOutcome::Ended) => return Some(CloseReason::ClosedByPeer),
             Ok(ReadOutcome::Received(count)) => {
@@ -409,7 +420,8 @@
                 if let Role::SignedClient(session) = &mut conn.role {
                     session.record_read(now, count);
                 }
-                // Of a client the end is wanted too: nothing is begun for one that has left.
+                // A client's socket is read on to detect its end: no request is begun for a client that has
+                // disconnected.
                 if count < read_bytes && !is_client {
                     return None;
                 }
--- a/gateway/src/net/platform_clients.rs
+++ b/gateway/src/net/platform_clients.rs
@@ -2,16 +2,16 @@
 use super::Gateway;
 use crate::connection::{Connection, Role};
 use crate::core::{ReplyHandle, Request, NO_CAPACITY_RETRY_AFTER};
-use crate::slots::Key;
+use crate::slots::SlotKey;
 use crate::thrift::{Action, Context, ProtocolError};
 use larchway::MonotonicTime;
 
 impl Gateway {
-    /// Takes one message off the input of a client's connection. Returns how many bytes it took; 0 if it is incomplete.
+    /// Handles the first message of a client's input. Returns its length in bytes; 0 if it is incomplete.
     pub(super) fn handle_platform_input(
         &mut self,
         now: MonotonicTime,
-        key: Key,
+        key: SlotKey,
         input: &[u8],
     ) -> Result<usize, ProtocolError> {
         let has_capacity = self.has_capacity(key);
@@ -43,7 +43,7 @@
         Ok(handled.used)
     }
 
-    fn submit_platform_request(&mut self, now: MonotonicTime, key: Key, sequence: i32, request: Request) {
+    fn submit_platform_request(&mut self, now: MonotonicTime, key: SlotKey, sequence: i32, request: Request) {
         let reply_to = ReplyHandle { connection: key, sequence: sequence as u64 };
         let call_id = request.call_id.clone();
         let admitted = self.core.request(now, reply_to, request);
@@ -53,7 +53,7 @@
             return;
         };
         match admitted {
-            // Its final reply may be among the commands already; then the entry goes with it.
+            // Its final reply may be queued as a command already; sending that removes the entry again.
             Some(request) => session.admitted(sequence, request),
             None => {
                 session.reject_duplicate(sequence, &call_id, &mut output.bytes);
--- a/gateway/src/net/startup.rs
+++ b/gateway/src/net/startup.rs
@@ -1,4 +1,5 @@
-//! The start of a process: reads the configuration, takes over what another process of the gateway knows, and listens.
+//! The start of a process: reads the configuration, takes over the state of another process of the gateway, and
+//! listens.
 use super::connections::LARGE_READ_BYTES;
 use super::errors::GatewayError;
 use super::poll_key::PollKey;
@@ -18,7 +19,7 @@
 use crate::slots::Slots;
 use crate::sockets::START_TIMEOUT;
 use crate::store_overrides::StoreOverrides;
-use crate::system_errors::through_shortages;
+use crate::system_errors::retry_on_local_shortage;
 use crate::wire_settings::WireSettings;
 use larchway::{MonotonicTime, Settings};
 use larchway_endpoints::endpoint::endpoint_id;
@@ -29,27 +30,29 @@
 use std::time::{Duration, Instant};
 
 impl Gateway {
-    /// Listens where the configuration says and takes in what it knows.
+    /// Starts a gateway: applies the configuration, takes over the state of another process, then opens the listeners.
     pub fn new(files: Files) -> Result<Self, GatewayError> {
         let start_until = Instant::now() + START_TIMEOUT;
-        let file_set = through_shortages(start_until, || files.read_set())?;
+        let file_set = retry_on_local_shortage(start_until, || files.read_set())?;
         let Loaded { config, front, ensemble, hierarchy, copies, spread, fleet, topology, events } =
             file_set.load(&Overlay::default())?;
         let keys = SignalKeys { stop: PollKey::StopSignal.into(), reload: PollKey::ReloadSignal.into() };
         let signals = PolledSignals::open(keys, start_until)?;
         let mut gateway = Gateway::unconfigured(files, config.listen, config.seed, signals);
-        // Danger: gateways whose files have one seed would all take their turns at cold stores at once.
+        // The seed is mixed with the name: gateways with the same configured seed would otherwise send to warming
+        // stores at the same moments.
         gateway.core = Core::new(larchway::mix(config.seed ^ endpoint_id(&config.name)));
-        gateway.keep_files(file_set);
+        gateway.remember_files(file_set);
         gateway.front = front;
         let shared = config.console.is_some();
-        let scratch = config.shared_folder.clone().filter(|_| shared);
+        let shared_folder_path = config.shared_folder.clone().filter(|_| shared);
         let name = config.name.clone();
-        let needs_saver = scratch.is_some() || saves_roster(ensemble.as_ref());
-        through_shortages(start_until, || gateway.start_saver(needs_saver))?;
-        // What the other process knows comes before the first decision, and clients come when all is known.
-        let frames = scratch.map(|folder| gateway.find_other_processes(&folder, &name)).unwrap_or_default();
-        // The clock goes on where that of the other process is.
+        let needs_saver = shared_folder_path.is_some() || saves_roster(ensemble.as_ref());
+        retry_on_local_shortage(start_until, || gateway.start_saver(needs_saver))?;
+        // The other process's state is taken over before the first decision, and clients are accepted after that.
+        let frames =
+            shared_folder_path.map(|folder| gateway.find_other_processes(&folder, &name)).unwrap_or_default();
+        // Read after the discovery, which sets the clock to continue from that of the other process.
         let now = clock::now();
         gateway.events = Events::new(now, config.seed);
         gateway.configure_object_cache(&config, copies, events.is_some());
@@ -65,8 +68,8 @@
         Ok(gateway)
     }
 
-    /// A gateway that polls signals alone and knows no store yet. `platform_address`: where clients come in; `seed`: of
-    /// its random numbers.
+    /// A gateway that polls only signals and has no endpoints yet. `platform_address`: the address of the platform's
+    /// front; `seed`: the seed of its random numbers.
     fn unconfigured(files: Files, platform_address: SocketAddr, seed: u64, signals: PolledSignals) -> Self {
         Gateway {
             poller: signals.poller,
@@ -94,7 +97,7 @@
             descriptor_limit: 0,
             upgrade: None,
             processes: ProcessGroup::default(),
-            sent_announced_until: MonotonicTime::MIN,
+            sent_work_reported_until: MonotonicTime::MIN,
             ejection_deadline: None,
             saver: None,
             saver_deadline: None,
@@ -116,7 +119,7 @@
             wire_times: WireTimes::new(),
             start_dates: StartDates::default(),
             events_connection: None,
-            postponed_events_call: None,
+            postponed_events_connect: None,
             events_deadline: None,
             own_zone: 0,
             core: Core::new(seed),
--- a/gateway/src/resp/array.rs
+++ b/gateway/src/resp/array.rs
@@ -1,31 +1,35 @@
 //! RESP arrays of bulk strings, and the lists of fields in them.
 use super::error::ProtocolError;
 
-/// Bytes of a string at most: a complete object and its fields.
+/// Maximum length of a string in bytes: enough for a complete object.
 pub const MAX_STRING_BYTES: usize = 300_000;
-/// Strings of an array at most.
+/// Maximum number of strings in an array.
 const MAX_ARRAY_LENGTH: usize = 16;
-/// Bytes of a line with a length at most.
+/// Maximum length in bytes of a line that states a length.
 const MAX_LINE_BYTES: usize = 16;
-/// What each line and each string ends in.
+/// The end of each line and each string.
 const LINE_END: &[u8] = b"\r\n";
 
 /// An array, as slices of the read buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Array<'a> {
-    /// Its strings.
+    /// The strings of the array.
     pub strings: Vec<&'a [u8]>,
-    /// Its length in bytes.
+    /// The length of the encoded array in bytes.
     pub length: usize,
 }
 
-/// One line `Xnnn\r\n`: its number and the place after it.
-fn decode_line(input: &[u8], start: usize, mark: u8) -> Result<Option<(usize, usize)>, ProtocolError> {
+/// Decodes a line `Xnnn\r\n` with the prefix X: its number, and the offset after it; none if it is incomplete.
+fn decode_length_line(
+    input: &[u8],
+    start: usize,
+    prefix: u8,
+) -> Result<Option<(usize, usize)>, ProtocolError> {
     let rest = &input[start.min(input.len())..];
     match rest.first() {
         None => return Ok(None),
-        Some(&byte) if byte != mark => {
-            return Err(ProtocolError::UnexpectedMark { found: byte as char, expected: mark as char });
+        Some(&byte) if byte != prefix => {
+            return Err(ProtocolError::UnexpectedPrefix { found: byte as char, expected: prefix as char });
         }
         Some(_) => {}
     }
@@ -38,15 +42,15 @@
     Ok(Some((number, start + end + 1)))
 }
 
-/// Takes a complete array off the front of the input.
+/// Decodes the array at the start of the input; none if it is incomplete.
 pub fn decode_array(input: &[u8]) -> Result<Option<Array<'_>>, ProtocolError> {
-    let Some((count, mut position)) = decode_line(input, 0, b'*')? else { return Ok(None) };
+    let Some((count, mut position)) = decode_length_line(input, 0, b'*')? else { return Ok(None) };
     if !(1..=MAX_ARRAY_LENGTH).contains(&count) {
         return Err(ProtocolError::ArrayLength(count));
     }
     let mut strings = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((length, start)) = decode_line(input, position, b'$')? else { return Ok(None) };
+        let Some((length, start)) = decode_length_line(input, position, b'$')? else { return Ok(None) };
         if length > MAX_STRING_BYTES {
             return Err(ProtocolError::StringTooLong(length));
         }
@@ -75,5 +79,8 @@
 
 /// The value of a field in a list `name=value,name=value`.
 pub fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
-    fields.split(',').find_map(|f| f.split_once('=').filter(|(n, _)| *n == name)).map(|(_, value)| value)
+    fields
+        .split(',')
+        .find_map(|entry| entry.split_once('=').filter(|(key, _)| *key == name))
+        .map(|(_, value)| value)
 }
--- a/gateway/src/signed/http.rs
+++ b/gateway/src/signed/http.rs
@@ -1,14 +1,14 @@
-//! The HTTP/1.1 that the front for signed links speaks: decoding of requests, encoding of responses.
+//! HTTP/1.1 for the front for signed links: decoding of requests and encoding of responses.
 use crate::clock;
 use thiserror::Error;
 
-/// Bytes of a head at most.
+/// Maximum size of a request's head in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes of a body at most.
+/// Maximum size of a request's body in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
-/// Headers of a request at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// What invites a client to send the body that it has announced.
+/// The interim response that invites a client to send the announced body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// A request, as slices of the read buffer.
@@ -20,65 +20,65 @@
     pub path: &'a str,
     /// The query; empty if there is none.
     pub query: &'a str,
-    /// The credentials; empty if absent, as all headers here.
+    /// The `Authorization` header; empty if absent, like the other headers.
     pub authorization: &'a str,
-    /// All cookies.
+    /// The `Cookie` header.
     pub cookie: &'a str,
-    /// Tags of copies that the client holds.
+    /// The `If-None-Match` header: entity tags of copies that the client holds.
     pub if_none_match: &'a str,
-    /// Where the request has been (RFC 8586), a field line each.
+    /// The values of the `CDN-Loop` headers (RFC 8586): the nodes that the request has passed.
     pub cdn_loop: Vec<&'a str>,
-    /// Whether the client waits for an invitation to send its body.
+    /// Whether the client waits for a `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// Whether the connection stays open afterwards.
+    /// Whether the client allows the connection to stay open after the response.
     pub keep_alive: bool,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// What the front of the input holds.
+/// The result of decoding the start of the input.
 #[derive(Debug, PartialEq)]
-pub enum Input<'a> {
-    /// Not a complete request yet.
+pub enum Decoded<'a> {
+    /// The request is incomplete.
     Partial {
-        /// Whether the client waits for an invitation to send its body.
+        /// Whether the client waits for a `100 Continue` before it sends the body.
         expects_continue: bool,
     },
-    /// A request, and its length in bytes.
+    /// A complete request, and its length in bytes.
     Complete(Request<'a>, usize),
 }
 
-/// Why a request cannot be read. It is answered, and the connection is closed.
+/// Why a request cannot be decoded. It is answered with an error status, and the connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The head exceeds its bound.
+    /// The head exceeds the maximum size.
     #[error("the head is too long")]
     HeadTooLong,
-    /// There are more headers than their bound.
+    /// There are more headers than allowed.
     #[error("too many headers")]
     TooManyHeaders,
-    /// Another version of HTTP.
+    /// The HTTP version is not supported.
     #[error("the version is not HTTP/1.0 or 1.1")]
     Version,
-    /// The head does not have its form.
+    /// The head is not valid HTTP.
     #[error("the head is malformed")]
     MalformedHead,
-    /// The value of a header is not text.
+    /// The value of a header is not UTF-8.
     #[error("a header is not UTF-8")]
     HeaderNotUtf8,
-    /// A body comes in an encoding without a length in front.
+    /// The body has a transfer encoding, which is not supported.
     #[error("a length is needed")]
     LengthRequired,
-    /// The length of the body is not a decimal number.
+    /// The `Content-Length` is not a decimal number.
     #[error("the length is no number")]
     LengthNotNumber,
-    /// Two lengths of the body differ.
+    /// There are different `Content-Length` headers.
     #[error("there are two lengths")]
     TwoLengths,
-    /// There is no host, or more than one.
+    /// There is no `Host` header, or more than one.
     #[error("one host is needed")]
     Host,
-    /// The body exceeds its bound.
+    /// The body exceeds the maximum size.
     #[error("the body is too long")]
     BodyTooLong,
 }
@@ -100,24 +100,24 @@
     }
 }
 
-/// What the headers say of the form of a request.
+/// The framing of a request, as its headers state it.
 #[derive(Debug, Default)]
 struct Framing {
-    /// Bytes of the body, if they are stated.
+    /// The length of the body in bytes, if stated.
     length: Option<usize>,
-    /// How many hosts are named.
-    hosts: usize,
+    /// The number of `Host` headers.
+    host_count: usize,
 }
 
-/// Decodes one request off the front of the input. Guards against heads and bodies without end, and against requests
-/// whose length two readers could take differently.
-pub fn decode_request(input: &[u8]) -> Result<Input<'_>, HttpError> {
+/// Decodes the request at the start of the input. Rejects heads and bodies above the maximum sizes, and ambiguous
+/// framing, which could make two implementations see different request boundaries (request smuggling).
+pub fn decode_request(input: &[u8]) -> Result<Decoded<'_>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let head_length = match parsed.parse(input) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if input.len() > MAX_HEAD_BYTES => return Err(HttpError::HeadTooLong),
-        Ok(httparse::Status::Partial) => return Ok(Input::Partial { expects_continue: false }),
+        Ok(httparse::Status::Partial) => return Ok(Decoded::Partial { expects_continue: false }),
         Err(httparse::Error::TooManyHeaders) => return Err(HttpError::TooManyHeaders),
         Err(httparse::Error::Version) => return Err(HttpError::Version),
         Err(_) => return Err(HttpError::MalformedHead),
@@ -139,7 +139,7 @@
     for header in parsed.headers.iter() {
         decode_header(header, is_version_1_1, &mut request, &mut framing)?;
     }
-    if framing.hosts > 1 || is_version_1_1 && framing.hosts == 0 {
+    if framing.host_count > 1 || is_version_1_1 && framing.host_count == 0 {
         return Err(HttpError::Host);
     }
     let body_length = framing.length.unwrap_or(0);
@@ -147,15 +147,15 @@
         return Err(HttpError::BodyTooLong);
     }
     match input.get(head_length..head_length + body_length) {
-        None => Ok(Input::Partial { expects_continue: request.expects_continue }),
+        None => Ok(Decoded::Partial { expects_continue: request.expects_continue }),
         Some(body) => {
             request.body = body;
-            Ok(Input::Complete(request, head_length + body_length))
+            Ok(Decoded::Complete(request, head_length + body_length))
         }
     }
 }
 
-/// Takes a header into the request, and into what is known of its form.
+/// Decodes a header into the request and its framing.
 fn decode_header<'a>(
     header: &httparse::Header<'a>,
     is_version_1_1: bool,
@@ -169,7 +169,7 @@
         "cdn-loop" => request.cdn_loop.push(value),
         "if-none-match" => request.if_none_match = value,
         "expect" => request.expects_continue = value.eq_ignore_ascii_case("100-continue"),
-        "host" => framing.hosts += 1,
+        "host" => framing.host_count += 1,
         "connection" => {
             let has_option =
                 |name: &str| value.split(',').any(|option| option.trim().eq_ignore_ascii_case(name));
@@ -192,7 +192,7 @@
     value.parse().ok().filter(|_| is_decimal).ok_or(HttpError::LengthNotNumber)
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -220,25 +220,25 @@
 pub struct Response<'a> {
     /// The status.
     pub status: u16,
-    /// Headers besides the usual ones.
+    /// Headers in addition to `Date`, `Content-Length` and `Connection`.
     pub headers: &'a [(&'a str, &'a str)],
     /// The body.
     pub body: &'a [u8],
-    /// Whether it answers a `HEAD`: the length is stated, the body is not sent.
+    /// Whether it answers a `HEAD` request: the length is stated, but the body is not sent.
     pub is_head: bool,
     /// Whether the connection stays open.
     pub keep_alive: bool,
 }
 
-/// Writes a response, dated by the clock.
+/// Writes a response with the current date.
 pub fn encode_response(output: &mut Vec<u8>, response: &Response<'_>) {
     let Response { status, headers, body, is_head, keep_alive } = *response;
     let date = httpdate::fmt_http_date(clock::system_time(clock::unix_now()));
-    let mut head = format!("HTTP/1.1 {status} {}\r\nDate: {date}\r\n", reason(status));
+    let mut head = format!("HTTP/1.1 {status} {}\r\nDate: {date}\r\n", reason_phrase(status));
     for (name, value) in headers {
         head.extend([*name, ": ", *value, "\r\n"]);
     }
-    // A 304 has no body by definition, and a length there would be that of the copy.
+    // A 304 has no body; a `Content-Length` would state the length of the client's copy.
     let is_not_modified = status == 304;
     if !is_not_modified {
         head.push_str(&format!("Content-Length: {}\r\n", body.len()));
--- a/gateway/src/signed/session.rs
+++ b/gateway/src/signed/session.rs
@@ -1,16 +1,15 @@
-//! The session of a client on the front for signed links: a state machine that is given the time and bytes and answers
-//! with actions. It knows no socket and does not decide on requests. Requests on a connection are answered one after
-//! another.
+//! The session of a client on the front for signed links: a state machine that turns received bytes into actions. It
+//! does no I/O and does not decide on requests. Requests on a connection are answered one after another.
 use super::arrivals::Arrivals;
 use super::error::{IssueError, RequestError};
-use super::http::{self, Input, Response};
+use super::http::{self, Decoded, Response};
 use super::issue::{issue, Issued};
 use super::request::{contains_tag, read_request};
 use super::settings::FrontSettings;
 use crate::clock;
 use crate::core::{self, FailureCause, FinalReply};
 use crate::json_fields;
-use crate::slots::Key;
+use crate::slots::SlotKey;
 use crate::spans::ceil_secs;
 use crate::wire_settings::WireSettings;
 use larchway::MonotonicTime;
@@ -18,37 +17,37 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// The time in which a request must be complete, from its first byte, and in which the first byte must come.
+/// Time for the first byte of the first request to arrive, and for a request to be complete after its first byte.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of replies that may wait before the next request on a connection is handled.
+/// Maximum number of unsent reply bytes with which the next request on a connection is handled.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
-/// The advice to a client that cannot be served now, where it may be given one.
-const RETRY_IN_A_SECOND: (&str, &str) = ("Retry-After", "1");
+/// The Retry-After header for a client that cannot be served now.
+const RETRY_AFTER_ONE_SECOND: (&str, &str) = ("Retry-After", "1");
 
 /// What a session needs to know of the gateway to handle a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Context<'a> {
-    /// The settings of the front; none if it is off.
+    /// The settings of the front; none if it is disabled.
     pub front: Option<&'a FrontSettings>,
-    /// Names and limits of the wires.
+    /// Names and limits used by the wire protocols.
     pub wire_settings: &'a WireSettings,
-    /// Whether a complete list of stores was received.
+    /// Whether a complete endpoint list was received.
     pub has_endpoints: bool,
-    /// Whether the process ends, so that connections are closed after the reply.
+    /// Whether the process is shutting down, so that the connection is closed after the reply.
     pub is_stopping: bool,
     /// Whether a client may be advised to retry later.
     pub may_advise_retry: bool,
-    /// Bytes of earlier replies that wait to be sent.
+    /// Number of unsent bytes of earlier replies.
     pub unsent_bytes: usize,
 }
 
-/// What becomes of a connection once the reply in the output is sent.
+/// What happens to the connection once the reply in the output is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterReply {
     /// It stays open.
     KeepOpen,
-    /// It is closed in order.
+    /// It is closed gracefully.
     Finish,
 }
 
@@ -63,7 +62,7 @@
     Reply(AfterReply),
     /// Admit the request, whose call id is still to be set, then call [`Session::admitted`] or [`Session::reject`].
     Submit {
-        /// Its number on the connection.
+        /// The request's number on the connection.
         sequence: u64,
         /// The request.
         request: Box<core::Request>,
@@ -73,36 +72,37 @@
 /// Input that was handled.
 #[derive(Debug)]
 pub struct Handled {
-    /// Bytes of the input that were used; 0 if no request is complete, or none is handled now.
+    /// Number of input bytes consumed; 0 if no request is complete, or none can be handled now.
     pub used: usize,
-    /// What is to be done.
+    /// What the owner has to do.
     pub action: Action,
 }
 
-/// What is known of a client's connection.
+/// The state of a client connection.
 #[derive(Debug, Default)]
 pub struct Session {
     /// The request that waits for its final reply.
-    open: Option<Key>,
-    /// When the first byte of a request came that is not complete yet.
+    open: Option<SlotKey>,
+    /// When the first byte of an incomplete request was handled; none if there is no incomplete request.
     incomplete_since: Option<MonotonicTime>,
-    /// Whether the client was invited to send the body of that request.
+    /// Whether `100 Continue` was sent for that request.
     is_continue_sent: bool,
     /// Whether the last request was a `HEAD`.
     is_head: bool,
     /// Whether the connection stays open after the reply to the last request.
     keep_alive: bool,
-    /// The tags of the copies that the client holds, as it sent them with the last request.
+    /// The `If-None-Match` header of the last request.
     client_tags: String,
     /// The number of the last request.
     sequence: u64,
+    /// Arrival times of the buffered input.
     arrivals: Arrivals,
 }
 
 impl Session {
-    /// Bytes were received from the client.
+    /// Records that bytes were received from the client.
     pub fn record_read(&mut self, now: MonotonicTime, bytes: usize) {
-        self.arrivals.read(now, bytes);
+        self.arrivals.record(now, bytes);
     }
 
     /// Whether a request waits for its final reply.
@@ -111,22 +111,22 @@
     }
 
     /// The request that waits for its final reply.
-    pub fn open_request(&self) -> Option<Key> {
+    pub fn open_request(&self) -> Option<SlotKey> {
         self.open
     }
 
-    /// The request that waits for its final reply, which is announced as the last one on the connection.
-    pub fn last_request(&mut self) -> Option<Key> {
+    /// Announces the next reply as the last one on the connection. Returns the request that waits for its final reply.
+    pub fn disable_keep_alive(&mut self) -> Option<SlotKey> {
         self.keep_alive = false;
         self.open
     }
 
-    /// When the first byte of a request came that is not complete yet.
+    /// When the first byte of an incomplete request was handled; none if there is no incomplete request.
     pub fn incomplete_since(&self) -> Option<MonotonicTime> {
         self.incomplete_since
     }
 
-    /// Handles the first request of the input, if it is complete and none before it waits for its reply. Replies that
+    /// Handles the first request of the input, if it is complete and no earlier one waits for its reply. Replies that
     /// need no decision are appended to the output.
     pub fn handle(
         &mut self,
@@ -135,18 +135,19 @@
         context: &Context<'_>,
         output: &mut Vec<u8>,
     ) -> Handled {
-        // A client that sends on and on and reads nothing must not have its replies pile up.
+        // The unsent bytes are limited: replies must not accumulate for a client that pipelines requests and reads
+        // nothing.
         if self.open.is_some() || input.is_empty() || context.unsent_bytes > MAX_UNSENT_BYTES {
             return Handled { used: 0, action: Action::None };
         }
         match http::decode_request(input) {
-            Ok(Input::Complete(request, used)) => {
-                let arrived = self.begin(now, &request, used);
+            Ok(Decoded::Complete(request, used)) => {
+                let arrived = self.record_request(now, &request, used);
                 let waited = now.saturating_since(arrived);
                 let action = self.handle_request(&request, waited, context, output);
                 Handled { used, action }
             }
-            Ok(Input::Partial { expects_continue }) => {
+            Ok(Decoded::Partial { expects_continue }) => {
                 Handled { used: 0, action: self.handle_partial(now, expects_continue, output) }
             }
             Err(error) => {
@@ -160,8 +161,13 @@
     }
 
     /// Records a complete request as the last one. Returns when its last byte arrived.
-    fn begin(&mut self, now: MonotonicTime, request: &http::Request<'_>, used: usize) -> MonotonicTime {
-        let arrived = self.arrivals.use_up(used).unwrap_or(now);
+    fn record_request(
+        &mut self,
+        now: MonotonicTime,
+        request: &http::Request<'_>,
+        used: usize,
+    ) -> MonotonicTime {
+        let arrived = self.arrivals.consume(used).unwrap_or(now);
         self.incomplete_since = None;
         self.is_continue_sent = false;
         self.is_head = request.method == "HEAD";
@@ -180,7 +186,7 @@
         Action::None
     }
 
-    /// Handles a complete request that has waited on the connection for so long.
+    /// Handles a complete request. `waited`: how long it has waited on the connection.
     fn handle_request(
         &mut self,
         request: &http::Request<'_>,
@@ -227,12 +233,12 @@
         output: &mut Vec<u8>,
     ) -> AfterReply {
         let credential = request.authorization.strip_prefix("Bearer ").unwrap_or("").as_bytes();
-        let Some(holder) = front.holders.iter().find(|holder| holder.is(credential)) else {
+        let Some(holder) = front.holders.iter().find(|holder| holder.matches(credential)) else {
             let challenge = [("WWW-Authenticate", "Bearer realm=\"larchway\"")];
             let text = b"an issuing credential is needed";
             return self.write(401, &challenge, text, context.is_stopping, output);
         };
-        match issue_ordered(request.body, front, context.wire_settings) {
+        match issue_from_body(request.body, front, context.wire_settings) {
             Ok(Issued { url, expires }) => {
                 info!(holder = %holder.name, expires_unix_s = expires, "a link was issued");
                 let body = format!("{{\"url\":{},\"expires\":{expires}}}\n", json::to_string(&url));
@@ -246,12 +252,12 @@
         }
     }
 
-    /// The last request was admitted under a key.
-    pub fn admitted(&mut self, request: Key) {
+    /// Records that the last request was admitted under this key.
+    pub fn admitted(&mut self, request: SlotKey) {
         self.open = Some(request);
     }
 
-    /// Replies to the last request, which is not admitted.
+    /// Replies to the last request, which was not admitted.
     pub fn reject(
         &mut self,
         error: RequestError,
@@ -262,7 +268,7 @@
         self.write_failure(error.status(), &error.to_string(), may_advise_retry, is_stopping, output)
     }
 
-    /// Gives the final reply to the request of a number; none if that is not open.
+    /// Writes the final reply to the request with this number; returns none if that is not open.
     pub fn finish(
         &mut self,
         sequence: u64,
@@ -290,7 +296,7 @@
                 }
             }
             FinalReply::Rejected(retry_after) => {
-                // HTTP has room for seconds only; where nothing is advised, nothing is sent.
+                // Retry-After has a resolution of seconds; without advice the header is omitted.
                 let seconds = ceil_secs(*retry_after).to_string();
                 let advice = [("Retry-After", &seconds[..])];
                 let headers: &[(&str, &str)] = if *retry_after > Duration::ZERO { &advice } else { &[] };
@@ -305,7 +311,7 @@
         })
     }
 
-    /// Writes a reply that says why there is no other, with the advice to retry where it may be given.
+    /// Writes an error reply; a 503 has a Retry-After header if clients may be advised to retry.
     fn write_failure(
         &self,
         status: u16,
@@ -315,7 +321,7 @@
         output: &mut Vec<u8>,
     ) -> AfterReply {
         let advises_retry = status == 503 && may_advise_retry;
-        let headers: &[(&str, &str)] = if advises_retry { &[RETRY_IN_A_SECOND] } else { &[] };
+        let headers: &[(&str, &str)] = if advises_retry { &[RETRY_AFTER_ONE_SECOND] } else { &[] };
         self.write(status, headers, text.as_bytes(), is_stopping, output)
     }
 
@@ -339,15 +345,15 @@
     }
 }
 
-/// Issues what the body of a request orders.
-fn issue_ordered(
+/// Issues the link or token that the JSON body of a request describes.
+fn issue_from_body(
     body: &[u8],
     front: &FrontSettings,
     wire_settings: &WireSettings,
 ) -> Result<Issued, IssueError> {
     let text = std::str::from_utf8(body).map_err(|_| IssueError::NotUtf8)?;
-    let order = json_fields::parse(text).map_err(|_| IssueError::NotJsonObject)?;
-    issue(wire_settings, front, &order, clock::unix_now().as_secs())
+    let issue_request = json_fields::parse(text).map_err(|_| IssueError::NotJsonObject)?;
+    issue(wire_settings, front, &issue_request, clock::unix_now().as_secs())
 }
 
 #[cfg(test)]
--- a/gateway/src/slots.rs
+++ b/gateway/src/slots.rs
@@ -1,5 +1,5 @@
-//! Tables of numbered slots. A key names a slot and its generation, so that a late key does not find the next entry of
-//! its slot.
+//! Tables of numbered slots. A key consists of the slot's index and its generation, so that a stale key does not find a
+//! later entry in the same slot.
 
 /// The bits of a key above the index of its slot.
 const GENERATION_SHIFT: u32 = 32;
@@ -8,13 +8,13 @@
 /// Generations wrap around here, so that the highest bit of a key stays free.
 const GENERATION_MASK: u32 = 0x7fff_ffff;
 
-/// Names an entry: the index of its slot in the lower bits, the generation above.
+/// The key of an entry: the index of its slot in the lower 32 bits, the generation in the bits above.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key(pub u64);
+pub struct SlotKey(pub u64);
 
-impl Key {
+impl SlotKey {
     fn new(index: usize, generation: u32) -> Self {
-        Key(u64::from(generation) << GENERATION_SHIFT | index as u64)
+        SlotKey(u64::from(generation) << GENERATION_SHIFT | index as u64)
     }
 
     fn index(self) -> usize {
@@ -26,7 +26,7 @@
     }
 }
 
-/// A slot: how often it was filled, and its entry.
+/// A slot: its generation, incremented with each insertion, and its entry.
 struct Slot<T> {
     generation: u32,
     entry: Option<T>,
@@ -48,8 +48,8 @@
 }
 
 impl<T> Slots<T> {
-    /// Puts an entry into a free slot.
-    pub fn insert(&mut self, entry: T) -> Key {
+    /// Inserts an entry into a free slot and returns its key.
+    pub fn insert(&mut self, entry: T) -> SlotKey {
         self.len += 1;
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, entry: None });
@@ -58,30 +58,30 @@
         let slot = &mut self.slots[index];
         slot.generation = slot.generation.wrapping_add(1) & GENERATION_MASK;
         slot.entry = Some(entry);
-        Key::new(index, slot.generation)
+        SlotKey::new(index, slot.generation)
     }
 
-    /// The slot of a key, unless it was filled again since.
-    fn slot(&self, key: Key) -> Option<&Slot<T>> {
+    /// The slot of a key; none if the slot has been reused.
+    fn slot(&self, key: SlotKey) -> Option<&Slot<T>> {
         self.slots.get(key.index()).filter(|slot| u64::from(slot.generation) == key.generation())
     }
 
-    fn slot_mut(&mut self, key: Key) -> Option<&mut Slot<T>> {
+    fn slot_mut(&mut self, key: SlotKey) -> Option<&mut Slot<T>> {
         self.slots.get_mut(key.index()).filter(|slot| u64::from(slot.generation) == key.generation())
     }
 
-    /// The entry, if it is still there.
-    pub fn get(&self, key: Key) -> Option<&T> {
+    /// The entry of a key, if it has not been removed.
+    pub fn get(&self, key: SlotKey) -> Option<&T> {
         self.slot(key)?.entry.as_ref()
     }
 
-    /// The entry, to be changed.
-    pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
+    /// The entry of a key, mutable.
+    pub fn get_mut(&mut self, key: SlotKey) -> Option<&mut T> {
         self.slot_mut(key)?.entry.as_mut()
     }
 
-    /// Removes the entry and frees its slot.
-    pub fn remove(&mut self, key: Key) -> Option<T> {
+    /// Removes the entry of a key and frees its slot.
+    pub fn remove(&mut self, key: SlotKey) -> Option<T> {
         let entry = self.slot_mut(key)?.entry.take()?;
         self.free.push(key.index());
         self.len -= 1;
@@ -93,21 +93,21 @@
         self.len
     }
 
-    /// Whether there are none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// All entries, to be changed.
+    /// All entries, mutable.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.slots.iter_mut().filter_map(|slot| slot.entry.as_mut())
     }
 
     /// All entries with their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
+    pub fn iter(&self) -> impl Iterator<Item = (SlotKey, &T)> {
         self.slots.iter().enumerate().filter_map(|(index, slot)| {
             let entry = slot.entry.as_ref()?;
-            Some((Key::new(index, slot.generation), entry))
+            Some((SlotKey::new(index, slot.generation), entry))
         })
     }
 }
