--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -35,7 +35,7 @@
 
 /// An endpoint list whose rows have not all arrived.
 pub struct Rows {
-    missing: usize,
+    remaining: usize,
     members: Members,
 }
 
@@ -63,17 +63,17 @@
         self.text(key).ok_or(LineError::Missing(key))
     }
 
-    fn maybe<T: FromStr>(&self, key: &'static str) -> Result<Option<T>, LineError> {
+    fn optional<T: FromStr>(&self, key: &'static str) -> Result<Option<T>, LineError> {
         let invalid = |value: &str| LineError::InvalidText { key, value: value.to_string() };
         self.text(key).map(|value| value.parse().map_err(|_| invalid(value))).transpose()
     }
 
     fn required_number<T: FromStr>(&self, key: &'static str) -> Result<T, LineError> {
-        self.maybe(key)?.ok_or(LineError::Missing(key))
+        self.optional(key)?.ok_or(LineError::Missing(key))
     }
 
     fn decimal(&self, key: &'static str) -> Result<f64, LineError> {
-        match self.maybe::<f64>(key)? {
+        match self.optional::<f64>(key)? {
             Some(value) if !value.is_finite() || value < 0.0 => Err(LineError::InvalidNumber { key, value }),
             value => Ok(value.unwrap_or(0.0)),
         }
@@ -86,7 +86,7 @@
         self.text(key).map_or(Ok(Vec::new()), |row| row.split(',').map(number).collect())
     }
 
-    fn moment(&self, key: &'static str) -> Result<MonotonicTime, LineError> {
+    fn time(&self, key: &'static str) -> Result<MonotonicTime, LineError> {
         Ok(MonotonicTime::from_micros(micros(self.decimal(key)?)))
     }
 
@@ -98,17 +98,17 @@
 fn host(line: &Line) -> Result<Host, LineError> {
     Ok(Host {
         server: line.required_number("server")?,
-        zone: line.maybe("site")?.unwrap_or(0),
-        kind: line.maybe("shape")?.unwrap_or(0),
-        cell: line.maybe("unitGroup")?.unwrap_or(0),
+        zone: line.optional("site")?.unwrap_or(0),
+        kind: line.optional("shape")?.unwrap_or(0),
+        cell: line.optional("unitGroup")?.unwrap_or(0),
         state: match line.required("state")? {
             "up" => State::Up,
             "draining" => State::Draining,
             "removed" => State::Removed,
             other => return Err(LineError::InvalidText { key: "state", value: other.to_string() }),
         },
-        weight: line.maybe::<f64>("units")?.filter(|w| w.is_finite()).unwrap_or(1.0),
-        started: line.moment("lastStartMs")?,
+        weight: line.optional::<f64>("units")?.filter(|w| w.is_finite()).unwrap_or(1.0),
+        started: line.time("lastStartMs")?,
     })
 }
 
@@ -144,19 +144,19 @@
 }
 
 /// Parses the head of an endpoint list; returns the list if it has no rows.
-fn view(line: &Line, rows: &mut Option<Rows>) -> Result<Option<Members>, LineError> {
+fn list_head(line: &Line, rows: &mut Option<Rows>) -> Result<Option<Members>, LineError> {
     let scope = match line.required("scope")? {
         "changes" => Scope::Changes,
         "all" | "remembered" => Scope::Full,
         "refused" => Scope::Failed,
         other => return Err(LineError::InvalidText { key: "scope", value: other.to_string() }),
     };
-    let missing: usize = line.maybe("hosts")?.unwrap_or(0);
+    let remaining: usize = line.optional("hosts")?.unwrap_or(0);
     let members = Members { scope, hosts: Vec::new() };
-    if missing == 0 {
+    if remaining == 0 {
         return Ok(Some(members));
     }
-    *rows = Some(Rows { missing, members });
+    *rows = Some(Rows { remaining, members });
     Ok(None)
 }
 
@@ -164,8 +164,8 @@
 fn row(line: &Line, rows: &mut Option<Rows>) -> Result<Option<Members>, LineError> {
     let Some(open) = rows.as_mut() else { return Err(LineError::RowWithoutList) };
     open.members.hosts.push(host(line)?);
-    open.missing -= 1;
-    let complete = open.missing == 0;
+    open.remaining -= 1;
+    let complete = open.remaining == 0;
     Ok(rows.take_if(|_| complete).map(|rows| rows.members))
 }
 
@@ -173,7 +173,7 @@
     Ok(Request {
         id: line.required_number("handle")?,
         class: line.required_number("category")?,
-        object: line.maybe("object")?.unwrap_or(0),
+        object: line.optional("object")?.unwrap_or(0),
         part: line.decimal("rangeNo")? as u64,
         group: line.decimal("group")? as u64,
         ttl: line.span("ttlMs")?,
@@ -188,11 +188,11 @@
         attempt: line.required_number("attempt")?,
         status: status(line.required_number("outcome")?)?,
         latency: line.span("delaySeenMs")?,
-        request: match line.maybe::<u8>("complete")? {
+        request: match line.optional::<u8>("complete")? {
             None | Some(0) => RequestState::Open,
             Some(_) => RequestState::Closed,
         },
-        note: note(line.maybe("note")?.unwrap_or(0)),
+        note: note(line.optional("note")?.unwrap_or(0)),
         waited: line.span("fillWaitMs")?,
         load: line.numbers("load")?,
     })
@@ -207,7 +207,7 @@
         let event = match line.name {
             "BATCH" => {
                 line.required("simTimeMs")?;
-                let at = line.moment("simTimeMs")?;
+                let at = line.time("simTimeMs")?;
                 return if at < now { Err(LineError::ClockWentBack) } else { Ok(Message::Batch(at)) };
             }
             "FLUSH" => return Ok(Message::Flush),
@@ -220,7 +220,7 @@
                 return Ok(Message::Create(Box::new(settings), line.required_number("entropy")?));
             }
             "CRASH_NOW" => return Ok(Message::Crash),
-            "VIEW" => match view(line, rows)? {
+            "VIEW" => match list_head(line, rows)? {
                 Some(members) => Event::Members(members),
                 None => return Ok(Message::More),
             },
@@ -235,8 +235,8 @@
             "RING" => Event::Timer(line.required_number("mark")?),
             "OUTDATED" => Event::Purged {
                 age: line.span("howOldMs")?,
-                group: line.maybe::<f64>("batchId")?.unwrap_or(0.0) as u64,
-                object: line.maybe("object")?,
+                group: line.optional::<f64>("batchId")?.unwrap_or(0.0) as u64,
+                object: line.optional("object")?,
             },
             // Ignored: routers send no health checks and do not communicate with each other here.
             "PING_RESULT" | "FROM_PEER" => return Ok(Message::More),
--- a/examples/request_cost.rs
+++ b/examples/request_cost.rs
@@ -34,7 +34,7 @@
 }
 
 /// The measurements for one number of stores, for each request or list change.
-struct Shown {
+struct Measurement {
     request_ns: f64,
     servers: f64,
     places: f64,
@@ -60,11 +60,11 @@
 
 fn store(at: u64, parents: Parents) -> Host {
     let is_parent = at % PARENT_EVERY == PARENT_EVERY - 1;
-    let counts = match parents {
+    let may_be_parent = match parents {
         Parents::Growing => true,
         Parents::Few => at < PARENT_EVERY * FEW_PARENTS,
     };
-    let kind = if is_parent && counts { PARENT } else { 0 };
+    let kind = if is_parent && may_be_parent { PARENT } else { 0 };
     // A store that may be a parent is never in the own site, so that this site has the same caches in both cases.
     let site = (at / STORES_PER_SITE) as usize;
     let zone = if is_parent && site == OWN_SITE { 1 } else { site };
@@ -77,7 +77,7 @@
     line.trim().trim_end_matches(" kB").trim().parse::<u64>().unwrap_or(0) << 10
 }
 
-fn play(router: &mut Router, first: u64) {
+fn run_requests(router: &mut Router, first: u64) {
     let mut actions = Vec::new();
     for id in first..first + REQUESTS {
         let now = MonotonicTime::from_micros(1_000_000) + INTERVAL * id as u32;
@@ -113,7 +113,7 @@
 }
 
 /// A router with a full endpoint list.
-fn listed(stores: u64, parents: Parents) -> Router {
+fn listed_router(stores: u64, parents: Parents) -> Router {
     let mut hosts = vec![Host { server: ORIGIN_ID, zone: 1, kind: ORIGIN, weight: 4.0, ..Host::default() }];
     hosts.extend((0..stores).map(|at| store(at, parents)));
     let mut router = Router::new(settings(), 1);
@@ -123,23 +123,23 @@
 }
 
 /// Resident bytes for each listed store. Must be measured before other memory is freed, which would be reused.
-fn bytes_each(parents: Parents) -> u64 {
+fn bytes_per_store(parents: Parents) -> u64 {
     let before = resident_bytes();
-    let routers: Vec<Router> = SIZES.iter().map(|&stores| listed(stores, parents)).collect();
+    let routers: Vec<Router> = SIZES.iter().map(|&stores| listed_router(stores, parents)).collect();
     let stores: usize = routers.iter().map(Router::servers).sum();
     resident_bytes().saturating_sub(before) / stores as u64
 }
 
-fn measure(stores: u64, parents: Parents) -> Shown {
-    let mut router = listed(stores, parents);
-    play(&mut router, 1);
+fn measure(stores: u64, parents: Parents) -> Measurement {
+    let mut router = listed_router(stores, parents);
+    run_requests(&mut router, 1);
     let touched_before = router.entries_touched();
     let began = Instant::now();
-    play(&mut router, 1 + REQUESTS);
+    run_requests(&mut router, 1 + REQUESTS);
     let request_ns = began.elapsed().as_nanos() as f64 / REQUESTS as f64;
     let touched = router.entries_touched();
     let each = |after: u64, before: u64| (after - before) as f64 / REQUESTS as f64;
-    Shown {
+    Measurement {
         request_ns,
         servers: each(touched.servers, touched_before.servers),
         places: each(touched.places, touched_before.places),
@@ -148,12 +148,12 @@
 }
 
 fn main() {
-    println!("a fifth are parents: {} bytes a store", bytes_each(Parents::Growing));
+    println!("a fifth are parents: {} bytes a store", bytes_per_store(Parents::Growing));
     println!("| parents | stores | request | servers looked at | places drawn | list change |");
     println!("| --- | ---: | ---: | ---: | ---: | ---: |");
     for parents in [Parents::Few, Parents::Growing] {
         for stores in SIZES {
-            let Shown { request_ns, servers, places, change_ns } = measure(stores, parents);
+            let Measurement { request_ns, servers, places, change_ns } = measure(stores, parents);
             print!("| {parents:?} | {stores} | {request_ns:.0} ns | {servers:.1} | {places:.1} ");
             println!("| {change_ns:.0} ns |");
         }
--- a/src/items/tests.rs
+++ b/src/items/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_group_is_purged_as_its_items_stand_now() {
+fn a_group_purge_applies_to_the_present_items_of_the_group() {
     let mut table = ItemTable::default();
     for (key, group) in [((1, 0), 5), ((2, 0), 5), ((3, 0), 6), ((4, 0), 0)] {
         table.count(at(1), key, group, MEMORY);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_is_evicted_or_taken_over_leaves_nothing_in_the_index() {
+fn evicted_and_replaced_items_leave_no_index_entries() {
     let mut table = ItemTable::default();
     for n in 0..MAX_REQUESTS as u64 + 10 {
         table.count(at(n), (n, 0), n % 3, MEMORY);
@@ -49,7 +49,7 @@
 /// Forgetting a server must not walk over all objects: that was costly when half of 3,200 stores were
 /// replaced within a day.
 #[test]
-fn a_server_that_is_gone_touches_the_items_that_it_had_alone() {
+fn forgetting_a_server_touches_only_its_items() {
     let mut table = ItemTable::default();
     for object in 0..1000 {
         table.count(at(object), (object, 0), 0, MEMORY);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -123,7 +123,7 @@
     /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: MonotonicTime, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        self.candidates.rates_change();
+        self.candidates.reset_mean_rate();
         self.started_at.get_or_insert(now);
         match event {
             Event::Request(req) if self.open.contains_key(&req.id) => {}
--- a/src/logic/candidates.rs
+++ b/src/logic/candidates.rs
@@ -51,13 +51,13 @@
     }
 
     /// Records that the number of transfers of a server was observed.
-    pub fn measure(&mut self, server: ServerId) {
+    pub fn record_measured(&mut self, server: ServerId) {
         self.measured.insert(server);
         self.mean_flows.set(None);
     }
 
     /// Resets the cached mean rate, after work was sent or time has passed.
-    pub fn rates_change(&self) {
+    pub fn reset_mean_rate(&self) {
         self.mean_rate.set(None);
     }
 
@@ -77,9 +77,9 @@
     }
 
     /// Number of ranks computed since the start.
-    pub fn drawn(&self) -> u64 {
+    pub fn ranks_computed(&self) -> u64 {
         let rings = [&self.own, &self.parents, &self.weighted_parents, &self.former_weighted_parents];
-        rings.iter().map(|ring| ring.drawn()).sum::<u64>() + self.subset.drawn()
+        rings.iter().map(|ring| ring.ranks_computed()).sum::<u64>() + self.subset.ranks_computed()
     }
 }
 
@@ -112,16 +112,16 @@
             (self.is_own(server), Some(server.host.kind), server.roles.source.is_observed());
         let weight = if self.settings.weighted { server.host.weight.max(0.01) } else { 1.0 };
         let candidates = &mut self.candidates;
-        put(&mut candidates.own, id, own.then_some(weight));
+        set_weight(&mut candidates.own, id, own.then_some(weight));
         if own && up {
             candidates.subset.set(identity, id, weight);
         } else {
             candidates.subset.remove(identity, id);
         }
-        put(&mut candidates.parents, id, (kind == self.settings.parent_kind).then_some(weight));
-        put_id(&mut candidates.origins, id, kind == self.settings.origin_kind);
-        put_id(&mut candidates.measured, id, server.flows.is_some());
-        put_id(&mut candidates.observed_sources, id, observed_source);
+        set_weight(&mut candidates.parents, id, (kind == self.settings.parent_kind).then_some(weight));
+        set_presence(&mut candidates.origins, id, kind == self.settings.origin_kind);
+        set_presence(&mut candidates.measured, id, server.flows.is_some());
+        set_presence(&mut candidates.observed_sources, id, observed_source);
         candidates.mean_flows.set(None);
     }
 
@@ -170,8 +170,8 @@
             }
         }
         let measured = self.candidates.measured.iter().filter_map(|id| self.examine(*id));
-        let like = measured.filter(|s| s.host.kind == kind && s.host.state == State::Up);
-        let flows = mean(like.filter_map(|s| s.flows));
+        let same_kind = measured.filter(|s| s.host.kind == kind && s.host.state == State::Up);
+        let flows = mean(same_kind.filter_map(|s| s.flows));
         self.candidates.mean_flows.set(Some((kind, flows)));
         flows
     }
@@ -196,7 +196,7 @@
 }
 
 /// Sets the weight of a server in a ring, or removes it without one.
-fn put(ring: &mut Ring, id: ServerId, weight: Option<f64>) {
+fn set_weight(ring: &mut Ring, id: ServerId, weight: Option<f64>) {
     match weight {
         Some(weight) => ring.set(id, weight),
         None => ring.remove(id),
@@ -204,7 +204,7 @@
 }
 
 /// Adds a server to a set, or removes it.
-fn put_id(ids: &mut BTreeSet<ServerId>, id: ServerId, present: bool) {
+fn set_presence(ids: &mut BTreeSet<ServerId>, id: ServerId, present: bool) {
     if present {
         ids.insert(id);
     } else {
--- a/src/logic/choice.rs
+++ b/src/logic/choice.rs
@@ -77,16 +77,16 @@
     fn sibling_for(&self, query: &SiblingQuery, edge: &EdgeCost, max_cost: f64) -> Option<(f64, ServerId)> {
         let mut best = (max_cost, None);
         let own = &self.candidates.own;
-        let place = |id| own.place(query.key, id).unwrap_or(f64::INFINITY);
-        let before = |id: ServerId, other: Option<ServerId>| {
-            other.is_none_or(|other| (place(id), id) < (place(other), other))
+        let rank = |id| own.rank(query.key, id).unwrap_or(f64::INFINITY);
+        let ranks_before = |id: ServerId, other: Option<ServerId>| {
+            other.is_none_or(|other| (rank(id), id) < (rank(other), other))
         };
         let can_supply = |s: &Server| {
             let usable = s.host.server != edge.server && self.usable(s, query.budget_work);
             usable && self.warm_share(s) >= 1.0 && self.is_own(s)
         };
         let better = |cost: f64, id, best: (f64, Option<ServerId>)| {
-            cost < best.0 || cost == best.0 && before(id, best.1)
+            cost < best.0 || cost == best.0 && ranks_before(id, best.1)
         };
         for &id in self.candidates.observed_sources.iter().chain(query.holders) {
             let Some(s) = self.examine(id) else { continue };
@@ -243,8 +243,8 @@
         let held = query.holders.iter().filter(|id| is_other_holder(id)).filter_map(|id| self.examine(*id));
         let among = |s: &&Server| caches.contains(s.host.server) && eligible(s);
         let mut edges: Vec<&Server> = held.filter(among).chain([default]).collect();
-        let place = |s: &Server| caches.place(query.key, s.host.server).unwrap_or(f64::INFINITY);
-        edges.sort_by(|a, b| place(a).total_cmp(&place(b)).then(a.host.server.cmp(&b.host.server)));
+        let rank = |s: &Server| caches.rank(query.key, s.host.server).unwrap_or(f64::INFINITY);
+        edges.sort_by(|a, b| rank(a).total_cmp(&rank(b)).then(a.host.server.cmp(&b.host.server)));
         edges
     }
 
--- a/src/logic/choice/tests.rs
+++ b/src/logic/choice/tests.rs
@@ -114,16 +114,17 @@
         let key = mix(req.object ^ mix(req.part + 1));
         let own = self.servers.values().filter(|s| self.is_own(s)).map(|s| (s, self.plain_weight(s)));
         let ranked = self.plain_ranked(key, own);
-        let spent = |a: &Attempt| a.edge_failed || !a.done;
-        let avoid = |s: &Server| open.attempts.iter().any(|a| a.choice.edge == s.host.server && spent(a));
-        let bound = |s: &Server| {
+        let unavailable = |a: &Attempt| a.edge_failed || !a.done;
+        let avoid =
+            |s: &Server| open.attempts.iter().any(|a| a.choice.edge == s.host.server && unavailable(a));
+        let in_group = |s: &Server| {
             let first = open.first_run.filter(|_| class.effect == Effect::IdempotencyKey);
             let (zone, cell) = (class.group != Group::All, class.group == Group::Cell);
             first.is_none_or(|f| {
                 (!zone || f.location.zone == s.host.zone) && (!cell || f.location.cell == s.host.cell)
             })
         };
-        let able = |s: &&Server| self.usable(s, mean) && !avoid(s) && bound(s);
+        let able = |s: &&Server| self.usable(s, mean) && !avoid(s) && in_group(s);
         let fit: Vec<&Server> = self.plain_candidates(&ranked, &able).into_iter().filter(able).collect();
         let origin = class.uncacheable.then(|| self.plain_origin(mean)).flatten().map(|s| s.host.server);
         let parent = origin.or_else(|| self.plain_parent(open, mean));
@@ -133,11 +134,11 @@
         if fit.is_empty() {
             let server = parent.filter(|_| self.settings.direct)?;
             let source = self.plain_origin(mean).map_or(server, |o| o.host.server);
-            let open_to = |s: &Server| !avoid(s) && bound(s) && self.in_time(open, class, 1.0, 1.0);
+            let open_to = |s: &Server| !avoid(s) && in_group(s) && self.in_time(open, class, 1.0, 1.0);
             return self.servers.get(&server).is_some_and(open_to).then(|| plain(server, source));
         }
-        let quiet = fit.iter().map(|s| self.stretch(s)).fold(f64::MAX, f64::min);
-        let crowded = |s: &Server| self.stretch(s) > CROWDED_STRETCH.max(2.0 * quiet);
+        let least_busy = fit.iter().map(|s| self.stretch(s)).fold(f64::MAX, f64::min);
+        let crowded = |s: &Server| self.stretch(s) > CROWDED_STRETCH.max(2.0 * least_busy);
         let offloads =
             |id: ServerId| unit(key ^ mix(id ^ self.seed)) < self.offload_shares.get(&id).map_or(0.0, |s| *s);
         let default = fit.iter().copied().find(|s| !crowded(s) && !offloads(s.host.server)).unwrap_or(fit[0]);
@@ -145,8 +146,8 @@
             return Some(plain(default.host.server, parent?));
         }
         let none = self.settings.siblings == Siblings::None || open.attempts.iter().any(|a| a.choice.sibling);
-        let lends = |s: &&Server| !none && self.usable(s, mean) && self.warm_share(s) >= 1.0;
-        let siblings: Vec<&Server> = ranked.iter().copied().filter(lends).collect();
+        let can_supply = |s: &&Server| !none && self.usable(s, mean) && self.warm_share(s) >= 1.0;
+        let siblings: Vec<&Server> = ranked.iter().copied().filter(can_supply).collect();
         let mut best = (f64::MAX, Choice::default(), 1.0);
         for &edge in &fit {
             let positive = self.plain_recorded(req, edge.host.server);
@@ -203,8 +204,8 @@
         {
             return Some(Choice { source, cached_only: true, ..choice });
         }
-        let barred = cached_only && (!parent || open.attempts.iter().any(|a| a.choice.cached_only));
-        if !barred && self.in_time(open, class, stretch, edge_miss_chance) {
+        let fill_barred = cached_only && (!parent || open.attempts.iter().any(|a| a.choice.cached_only));
+        if !fill_barred && self.in_time(open, class, stretch, edge_miss_chance) {
             return Some(Choice { cached_only, ..choice });
         }
         let look = Choice { source: choice.edge, sibling: false, link: false, ..choice };
@@ -212,10 +213,10 @@
     }
 
     fn plain_former_home(&self, open: &OpenRequest, work: f64) -> Option<ServerId> {
-        let asked = |h: &&ParentWeights| {
+        let still_asked = |h: &&ParentWeights| {
             unit(mix(open.req.object) ^ 1) <= h.previous_share && open.attempts.is_empty()
         };
-        let before = self.parent_weights.as_ref().filter(asked)?;
+        let before = self.parent_weights.as_ref().filter(still_asked)?;
         let ranked = self.plain_homes(open.req.object, Some(&before.previous));
         ranked.into_iter().find(|s| self.usable(s, work)).map(|s| s.host.server)
     }
@@ -293,7 +294,7 @@
     (0..count).map(drawn).collect()
 }
 
-fn drawn_end(
+fn drawn_outcome(
     draws: &mut Draws,
     (id, attempt, sent): (u64, u64, MonotonicTime),
     now: MonotonicTime,
@@ -421,7 +422,7 @@
             57..=550 if !self.in_flight.is_empty() => {
                 let at = draws.below(self.in_flight.len() as u64) as usize;
                 let attempt = self.in_flight.swap_remove(at);
-                drawn_end(draws, attempt, now, self.served_percent)
+                drawn_outcome(draws, attempt, now, self.served_percent)
             }
             _ => Event::Request(Request {
                 id: step,
@@ -478,8 +479,8 @@
         assert_eq!(router.own_caches_up, caches as f64, "seed {seed}, step {step}");
         let waiting: Vec<&OpenRequest> = router.open.values().filter(|open| !open.closed).collect();
         // The latest requests and some of the others.
-        let looked_at = waiting.iter().rev().take(3).chain(waiting.iter().step_by(7));
-        looked_at
+        let compared = waiting.iter().rev().take(3).chain(waiting.iter().step_by(7));
+        compared
             .map(|open| {
                 let class = &router.settings.classes[open.req.class];
                 let (chosen, plain) = (router.choose(open, class), router.plain_choose(open, class));
@@ -556,7 +557,7 @@
 
 /// Servers examined and ranks computed for each request, with these numbers of own caches, parents and caches
 /// of other locations.
-fn touched_each(own: u64, parents: u64, elsewhere: u64, siblings: Siblings) -> (f64, f64) {
+fn entries_touched_per_request(own: u64, parents: u64, elsewhere: u64, siblings: Siblings) -> (f64, f64) {
     const REQUESTS: u64 = 400;
     let mut router = listed_router(own, parents, elsewhere, siblings);
     let mut actions = Vec::new();
@@ -596,7 +597,7 @@
 /// an edge cache.
 #[test]
 fn finding_an_edge_cache_touches_no_more_than_the_subset_however_large_the_location() {
-    let without_siblings = |own| touched_each(own, 40, 0, Siblings::None);
+    let without_siblings = |own| entries_touched_per_request(own, 40, 0, Siblings::None);
     let (servers, places) = without_siblings(SUBSET_SIZE as u64);
     for own in [4, 16].map(|times| times * SUBSET_SIZE as u64) {
         let (more_servers, more_places) = without_siblings(own);
@@ -613,7 +614,8 @@
 #[test]
 fn what_is_learned_and_touched_does_not_grow_with_stores_elsewhere() {
     const ELSEWHERE: u64 = 300;
-    let touched = [1, 4, 16].map(|times| touched_each(6, 10, times * ELSEWHERE, Siblings::Any));
+    let touched =
+        [1, 4, 16].map(|times| entries_touched_per_request(6, 10, times * ELSEWHERE, Siblings::Any));
     assert!(touched[0] == touched[1] && touched[1] == touched[2], "{touched:?}");
     for elsewhere in [1, 4, 16].map(|times| times * ELSEWHERE) {
         let router = listed_router(6, 10, elsewhere, Siblings::Any);
@@ -624,12 +626,12 @@
 /// The cost of a request must not grow with the number of listed stores: it was 4.8 times as high with 3,200
 /// stores as with 200.
 #[test]
-fn a_request_touches_its_own_candidates_and_of_these_few_one_by_one() {
-    let (servers, places) = touched_each(10, 40, 150, Siblings::Any);
+fn a_request_computes_ranks_of_its_candidates_and_examines_few_of_them() {
+    let (servers, places) = entries_touched_per_request(10, 40, 150, Siblings::Any);
     // Sixteen times the stores, the further ones in other locations: no more entries are touched.
-    assert_eq!(touched_each(10, 40, 3150, Siblings::Any), (servers, places));
+    assert_eq!(entries_touched_per_request(10, 40, 3150, Siblings::Any), (servers, places));
     // Sixteen times the candidates: a rank is computed for each, but few more are examined.
-    let (more_servers, more_places) = touched_each(160, 640, 2400, Siblings::Any);
+    let (more_servers, more_places) = entries_touched_per_request(160, 640, 2400, Siblings::Any);
     assert!(more_servers < 4.0 * servers, "{servers} servers examined, then {more_servers}");
     assert!(more_places < 17.0 * places, "{places} ranks computed, then {more_places}");
     assert!(places < 4.0 * (10.0 + 40.0), "{places} ranks computed");
--- a/src/logic/learned.rs
+++ b/src/logic/learned.rs
@@ -222,12 +222,12 @@
         for LearnedItem { object, part, item } in learned.items.into_iter().rev() {
             self.items.insert((object, part), item);
         }
-        let remembered = self.remember_purges();
+        let retention = self.purge_retention();
         for LearnedPurge { target, issued } in learned.purges {
-            self.purges.record(self.now, target, issued, issued + remembered);
+            self.purges.record(self.now, target, issued, issued + retention);
         }
         if let Some(at) = learned.purge_floor {
-            self.purges.raise_floor(at, at + remembered);
+            self.purges.raise_floor(at, at + retention);
         }
         self.seed = learned.seed;
         self.classify_servers();
--- a/src/logic/learning.rs
+++ b/src/logic/learning.rs
@@ -216,7 +216,7 @@
             }
             if observation.sized && work > MEASURED_MIN_WORK && state.warm {
                 server.flows = Some(learned_flows_of(state.flows, observation.latency() / work, state.load));
-                self.candidates.measure(choice.edge);
+                self.candidates.record_measured(choice.edge);
             }
         }
         if observation.cacheable && (hit || observation.filled || outcome.status == Status::Miss) {
@@ -237,13 +237,13 @@
         let mut restarted = false;
         if observation.failed_part == FailedPart::Source {
             server.lost |= unreached;
-            let gone = outcome.note == Note::SourceLost;
-            server.record_failure(now, if gone { 0.0 } else { SOURCE_EJECTION_THRESHOLD });
+            let source_lost = outcome.note == Note::SourceLost;
+            server.record_failure(now, if source_lost { 0.0 } else { SOURCE_EJECTION_THRESHOLD });
         } else if filled {
             server.last_fill = now;
             if !choice.sibling {
-                let sent = micros_f64(outcome.latency.saturating_sub(outcome.waited));
-                server.record_pace(now, (sent / (work + INITIAL_ACCESS_COST)).min(FILL_PACE_LIMIT));
+                let transfer_time = micros_f64(outcome.latency.saturating_sub(outcome.waited));
+                server.record_pace(now, (transfer_time / (work + INITIAL_ACCESS_COST)).min(FILL_PACE_LIMIT));
             }
             restarted = server.record_success(now);
         }
--- a/src/logic/load.rs
+++ b/src/logic/load.rs
@@ -58,12 +58,14 @@
     /// only the own present requests would count a single one for every router. In a large location only part
     /// of the routers have the server in their subsets.
     pub(super) fn load(&self, s: &Server) -> f64 {
-        let mut usual = s.in_flight.mean(self.now, LOAD_SPAN);
+        let mut mean_in_flight = s.in_flight.mean(self.now, LOAD_SPAN);
         if self.is_own(s) {
-            let sharing = (SUBSET_SIZE as f64 / self.own_caches_up).min(1.0);
-            usual = (usual * sharing + self.in_flight.mean(self.now, LOAD_SPAN) / self.own_caches_up) / 2.0;
+            let subset_share = (SUBSET_SIZE as f64 / self.own_caches_up).min(1.0);
+            mean_in_flight = (mean_in_flight * subset_share
+                + self.in_flight.mean(self.now, LOAD_SPAN) / self.own_caches_up)
+                / 2.0;
         }
-        s.in_flight.now + usual * (self.settings.routers_of(s.host.zone) - 1.0)
+        s.in_flight.now + mean_in_flight * (self.settings.routers_of(s.host.zone) - 1.0)
     }
 
     /// Estimated number of transfers on the location's link from all routers of the location.
@@ -93,8 +95,8 @@
 
     /// Whether a transfer at a server takes much longer than it would alone, whatever the server's capacity.
     pub(super) fn is_saturated(&self, s: &Server) -> bool {
-        let alone = (1.0 / self.flows_now(s)).max(1.0);
-        self.stretch(s) > CROWDED_STRETCH * alone
+        let stretch_alone = (1.0 / self.flows_now(s)).max(1.0);
+        self.stretch(s) > CROWDED_STRETCH * stretch_alone
     }
 }
 
--- a/src/logic/retry.rs
+++ b/src/logic/retry.rs
@@ -60,7 +60,7 @@
         };
         let expected = Duration::from_micros((RESPONSE_TIMEOUT_FACTOR * choice.expected) as u64);
         let response_timeout = expected + RESPONSE_TIMEOUT_MARGIN;
-        let get = self.get_for(open, class, &choice, response_timeout);
+        let get = self.build_get(open, class, &choice, response_timeout);
         let work = self.mean_work(open);
         let is_sized = open.sized;
         self.record_sent_work(&choice, class_index, work, is_sized);
@@ -99,17 +99,23 @@
     }
 
     /// The attempt for a choice, with the time-out and cache parameters of the request.
-    fn get_for(&self, open: &OpenRequest, class: &Class, choice: &Choice, response_timeout: Duration) -> Get {
+    fn build_get(
+        &self,
+        open: &OpenRequest,
+        class: &Class,
+        choice: &Choice,
+        response_timeout: Duration,
+    ) -> Get {
         // A stale copy is acceptable only after a failure; a sibling without the object is not a failure.
         let grace = open.attempts.iter().any(|a| a.edge_failed || a.source_failed && !a.choice.sibling);
-        let seen = self.items.get(&(open.req.object, open.req.part)).map_or(1, |i| i.seen.max(1));
+        let request_count = self.items.get(&(open.req.object, open.req.part)).map_or(1, |i| i.seen.max(1));
         let cancel = self.settings.limits_of(open.req.class).cancel;
         Get {
             id: open.req.id,
             server: choice.edge,
             source: choice.source,
             stop_at: (!cancel).then(|| self.now + 2 * response_timeout),
-            rank: if class.uncacheable { 0 } else { (1 + seen.ilog2()).min(HIGHEST_RANK) as u8 },
+            rank: if class.uncacheable { 0 } else { (1 + request_count.ilog2()).min(HIGHEST_RANK) as u8 },
             max_age: self.max_age(&open.req, class, grace),
             cached_only: choice.cached_only,
             join_fill: self.settings.joins && open.attempts.is_empty() && !class.uncacheable,
@@ -131,7 +137,7 @@
                 false => s.sent.add_unsized(class, share, work * share, now, span),
             }
             s.rate.add_pulse(work * share, now, USUAL_RATE_SPAN);
-            self.candidates.rates_change();
+            self.candidates.reset_mean_rate();
             if !s.backoff.is_zero() && (server == choice.edge || !record) {
                 s.retry_at = now + s.backoff; // This attempt is the single trial before the next backoff.
             }
@@ -195,12 +201,12 @@
         let overdue = |a: &Attempt| !a.done && !a.cancelled && now >= a.check_at;
         let is_waiting =
             |o: &OpenRequest| !o.closed && !o.streaming && o.attempts.last().is_some_and(overdue);
-        let due: Vec<RequestId> =
+        let overdue_requests: Vec<RequestId> =
             self.open.iter().filter(|(_, o)| is_waiting(o)).map(|(&id, _)| id).collect();
         self.count_late_fills();
         let mut hedged = self.open.values().filter(|o| o.in_flight() > 1).count() as f64;
         let limit = HEDGED_MINIMUM + HEDGED_SHARE * self.open.len() as f64;
-        for id in due {
+        for id in overdue_requests {
             if self.check_overdue(id, hedged < limit, actions) == Overdue::Hedged {
                 hedged += 1.0;
             }
@@ -236,19 +242,19 @@
         let Some(attempt) = open.attempts.last_mut() else { return Overdue::Waiting };
         let (edge, source, sent) = (attempt.choice.edge, attempt.choice.source, attempt.sent);
         let first_run = attempt.as_first_run();
-        let responded = self.servers.get(&edge).is_some_and(|s| s.last_response > sent);
-        let filled = self.servers.get(&source).is_some_and(|s| s.last_fill > sent);
+        let edge_responded = self.servers.get(&edge).is_some_and(|s| s.last_response > sent);
+        let source_filled = self.servers.get(&source).is_some_and(|s| s.last_fill > sent);
         attempt.check_at = self.now + attempt.response_timeout;
-        let silent = if !responded {
+        let silent_server = if !edge_responded {
             attempt.edge_failed = true;
             edge
-        } else if !attempt.choice.positive.edge && !filled && source != edge {
+        } else if !attempt.choice.positive.edge && !source_filled && source != edge {
             attempt.source_failed = true;
             source
         } else {
             return Overdue::Waiting;
         };
-        if let Some(s) = self.servers.get_mut(&silent) {
+        if let Some(s) = self.servers.get_mut(&silent_server) {
             s.record_failure(self.now, EJECTION_THRESHOLD);
         }
         if single_attempt {
--- a/src/logic/ring.rs
+++ b/src/logic/ring.rs
@@ -20,7 +20,7 @@
 pub(super) struct Ring {
     candidates: Vec<Candidate>,
     /// Number of ranks computed since the start.
-    drawn: Cell<u64>,
+    ranks_computed: Cell<u64>,
 }
 
 impl Ring {
@@ -56,7 +56,7 @@
     }
 
     /// The rank of a server for a key, lowest first; none if the ring does not contain it.
-    pub fn place(&self, key: u64, server: ServerId) -> Option<f64> {
+    pub fn rank(&self, key: u64, server: ServerId) -> Option<f64> {
         let candidate = self.candidates[self.find(server).ok()?];
         Some(rank_of(unit(key ^ candidate.seed), candidate.weight))
     }
@@ -64,28 +64,28 @@
     /// The accepted server with the lowest rank for a key; the lower id wins a tie. Calls `accept` only for
     /// servers that rank before the best one so far, usually about ln(n) of them.
     pub fn first(&self, key: u64, accept: impl Fn(ServerId) -> bool) -> Option<ServerId> {
-        self.drawn.set(self.drawn.get() + self.candidates.len() as u64);
+        self.ranks_computed.set(self.ranks_computed.get() + self.candidates.len() as u64);
         let mut best: Option<(f64, ServerId)> = None;
         for candidate in &self.candidates {
             let drawn = unit(key ^ candidate.seed);
             // -ln(x) is at least 1 - x, so the logarithm is computed for few servers only.
             let lower_bound = (1.0 - drawn) / candidate.weight * (1.0 - RELATIVE_ERROR);
-            if best.is_some_and(|(place, _)| lower_bound > place) {
+            if best.is_some_and(|(rank, _)| lower_bound > rank) {
                 continue;
             }
-            let place = rank_of(drawn, candidate.weight);
+            let rank = rank_of(drawn, candidate.weight);
             // Candidates are ordered by id, so on a tie the earlier one has the lower id.
-            let before = best.is_none_or(|(first, _)| place.total_cmp(&first).is_lt());
-            if before && accept(candidate.server) {
-                best = Some((place, candidate.server));
+            let ranks_before = best.is_none_or(|(first, _)| rank.total_cmp(&first).is_lt());
+            if ranks_before && accept(candidate.server) {
+                best = Some((rank, candidate.server));
             }
         }
         best.map(|(_, server)| server)
     }
 
     /// Number of ranks computed since the start.
-    pub fn drawn(&self) -> u64 {
-        self.drawn.get()
+    pub fn ranks_computed(&self) -> u64 {
+        self.ranks_computed.get()
     }
 
     fn find(&self, server: ServerId) -> Result<usize, usize> {
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -43,18 +43,19 @@
     /// the budget, so that all of them together do not overload a cold cache or parent. The cost: a server
     /// that warms up faster than assumed idles for some seconds.
     pub(super) fn within_slow_start_budget(&self, s: &Server, work: f64) -> bool {
-        let (set, warm_share) = (&self.settings, self.warm_share(s));
-        if warm_share >= 1.0 || Some(s.host.kind) == set.origin_kind {
+        let (settings, warm_share) = (&self.settings, self.warm_share(s));
+        if warm_share >= 1.0 || Some(s.host.kind) == settings.origin_kind {
             return true;
         }
-        let share = set.quota_divisor(self.now, self.is_cache(s).then_some(s.host.zone));
-        let span = set.overload_span.max(MICROSECOND);
-        let used_share = BUDGET_SHARE + SHARED_BUDGET_SHARE * (1.0 - (4.0 / share).min(1.0).sqrt());
+        let divisor = settings.quota_divisor(self.now, self.is_cache(s).then_some(s.host.zone));
+        let span = settings.overload_span.max(MICROSECOND);
+        let used_share = BUDGET_SHARE + SHARED_BUDGET_SHARE * (1.0 - (4.0 / divisor).min(1.0).sqrt());
         // The budget grows with the uptime: a new process does not know what its predecessor has sent, and
         // all routers may restart at once.
         let uptime = micros_f64((self.now - self.started_at.unwrap_or(self.now)).min(span));
-        let budget =
-            set.slow_start(self.tier(s)).multiple * warm_share * self.flows(s) * uptime / share * used_share;
+        let budget = settings.slow_start(self.tier(s)).multiple * warm_share * self.flows(s) * uptime
+            / divisor
+            * used_share;
         // A router's budget may be less than one request, so each time slot adds a random share of one. Slots
         // begin at different times at different routers.
         let slot_length = duration_micros(span);
--- a/src/logic/subset.rs
+++ b/src/logic/subset.rs
@@ -83,8 +83,8 @@
     }
 
     /// Number of ranks computed since the start.
-    pub fn drawn(&self) -> u64 {
-        self.members.drawn()
+    pub fn ranks_computed(&self) -> u64 {
+        self.members.ranks_computed()
     }
 
     fn add_member(&mut self, rank: Rank, weight: f64) {
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -67,7 +67,7 @@
 
     /// The cost of all decisions since the start, as numbers of entries touched.
     pub fn entries_touched(&self) -> EntriesTouched {
-        EntriesTouched { servers: self.candidates.examined(), places: self.candidates.drawn() }
+        EntriesTouched { servers: self.candidates.examined(), places: self.candidates.ranks_computed() }
     }
 
     /// The servers that are ejected now: they get single trial requests only.
--- a/src/purges/tests.rs
+++ b/src/purges/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn beyond_the_bound_a_forgotten_purge_still_voids_what_is_older() {
+fn an_evicted_purge_still_invalidates_older_copies() {
     let mut purges = PurgeTable::default();
     for n in 0..=MAX_PURGES as u64 {
         purges.record(at(n), object(n), at(1000 + n), at(SECOND + n));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_late_or_repeated_purge_never_moves_back() {
+fn a_late_or_repeated_purge_does_not_move_times_back() {
     let mut purges = PurgeTable::default();
     purges.record(at(10), PurgeTarget::Group(3), at(500), at(110));
     purges.record(at(20), PurgeTarget::Group(3), at(400), at(120));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_floor_concerns_all_objects_until_it_expires() {
+fn a_floor_applies_to_all_objects_until_it_expires() {
     let mut purges = PurgeTable::default();
     purges.raise_floor(at(50), at(100));
     purges.raise_floor(at(40), at(120));
@@ -54,24 +54,24 @@
 }
 
 /// Mean number of entries touched by one of 1,000 purges while a constant number of them is stored.
-fn touched_a_purge(remembered: u64) -> f64 {
+fn entries_touched_per_purge(stored: u64) -> f64 {
     let mut purges = PurgeTable::default();
-    let record = |purges: &mut PurgeTable, n: u64| purges.record(at(n), object(n), at(n), at(n + remembered));
-    (0..2 * remembered).for_each(|n| record(&mut purges, n));
-    assert_eq!(purges.len() as u64, remembered);
+    let record = |purges: &mut PurgeTable, n: u64| purges.record(at(n), object(n), at(n), at(n + stored));
+    (0..2 * stored).for_each(|n| record(&mut purges, n));
+    assert_eq!(purges.len() as u64, stored);
     let before = purges.touched();
-    (2 * remembered..2 * remembered + 1000).for_each(|n| record(&mut purges, n));
+    (2 * stored..2 * stored + 1000).for_each(|n| record(&mut purges, n));
     (purges.touched() - before) as f64 / 1000.0
 }
 
 #[test]
-fn a_purge_touches_as_many_entries_however_many_are_remembered() {
-    let touched = [1, 4, 16].map(|times| touched_a_purge(times * 2_500));
+fn the_cost_of_a_purge_does_not_grow_with_the_stored_purges() {
+    let touched = [1, 4, 16].map(|times| entries_touched_per_purge(times * 2_500));
     assert_eq!(touched, [2.0; 3], "the recorded purge and the one that expires");
 }
 
 #[test]
-fn all_that_is_recorded_is_found_as_a_walk_over_all_would_find_it() {
+fn lookups_agree_with_a_walk_over_all_purges() {
     let mut purges = PurgeTable::default();
     let mut all: Vec<(PurgeTarget, MonotonicTime, MonotonicTime)> = Vec::new();
     for n in 0..5_000_u64 {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -59,7 +59,7 @@
     get(value, key).and_then(as_f64).unwrap_or(default)
 }
 
-fn span(value: &Value, key: &str, default_ms: f64) -> Duration {
+fn duration(value: &Value, key: &str, default_ms: f64) -> Duration {
     span_of_millis(number(value, key, default_ms))
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-fn place(value: &Value, key: &str) -> Option<usize> {
+fn index(value: &Value, key: &str) -> Option<usize> {
     get(value, key).and_then(as_u64).map(|n| n as usize)
 }
 
@@ -102,11 +102,12 @@
     Duration::from_micros(micros(ms))
 }
 
-fn class(value: &Value, at: usize, info: &Value, limits: &Value) -> Class {
-    let by_class =
-        |key: &str| list(info, key).get(at).and_then(as_f64).map_or(Duration::ZERO, span_of_millis);
+fn read_class(value: &Value, index_of_class: usize, info: &Value, limits: &Value) -> Class {
+    let by_class = |key: &str| {
+        list(info, key).get(index_of_class).and_then(as_f64).map_or(Duration::ZERO, span_of_millis)
+    };
     Class {
-        latency_objective: span(value, "targetMs", 0.0),
+        latency_objective: duration(value, "targetMs", 0.0),
         objective_stretch: number(value, "aimStretch", 0.0),
         effect: match string(value, "effect") {
             "token" => Effect::IdempotencyKey,
@@ -118,24 +119,24 @@
             "cell" => Group::Cell,
             _ => Group::All,
         },
-        window: span(value, "windowMs", 5000.0),
+        window: duration(value, "windowMs", 5000.0),
         fresh: by_class("lifetimeByClassMs"),
         grace: by_class("graceForMs"),
-        uncacheable: list(info, "neverKept").get(at).and_then(as_bool).unwrap_or(false),
+        uncacheable: list(info, "neverKept").get(index_of_class).and_then(as_bool).unwrap_or(false),
         attempts: attempts(limits),
         limits: Some(Limits {
             cancel: flag(limits, "cancel", false),
             duplicates: flag(limits, "mayDuplicate", false),
-            max_retry_after: advice(limits),
+            max_retry_after: max_retry_after_of(limits),
         }),
     }
 }
 
 /// The longest Retry-After sent to clients; zero if none is sent.
-fn advice(limits: &Value) -> Duration {
+fn max_retry_after_of(limits: &Value) -> Duration {
     let retry_after_allowed = flag(limits, "retryAfter", false);
     if retry_after_allowed {
-        span(limits, "maxRetryAfterMs", 0.0)
+        duration(limits, "maxRetryAfterMs", 0.0)
     } else {
         Duration::ZERO
     }
@@ -158,24 +159,24 @@
         return Err(SettingsError::NotObject);
     }
     let none = Value::Null;
-    let part = |key: &str| get(all, key).unwrap_or(&none);
-    let (info, limits, rules) = (part("familyInfo"), part("limits"), part("rules"));
+    let section = |key: &str| get(all, key).unwrap_or(&none);
+    let (info, limits, overload_rules) = (section("familyInfo"), section("limits"), section("rules"));
     let services = list(all, "services").iter().enumerate();
-    let classes = services.map(|(at, c)| class(c, at, info, limits)).collect();
-    let usual = Settings::default();
+    let classes = services.map(|(at, c)| read_class(c, at, info, limits)).collect();
+    let defaults = Settings::default();
     let settings = Settings {
         routers: number(all, "balancers", 1.0).max(1.0) as u64,
         router_index: get(all, "me").and_then(as_u64),
-        zone: place(all, "locality").unwrap_or(0),
+        zone: index(all, "locality").unwrap_or(0),
         shares: None,
         zone_routers: list(info, "zoneBalancers").iter().map(|v| as_u64(v).unwrap_or(0)).collect(),
         classes,
         poll_endpoints: string(all, "membershipMode") == "ask",
-        parent_kind: place(info, "shieldKind"),
-        origin_kind: place(info, "storeKind"),
+        parent_kind: index(info, "shieldKind"),
+        origin_kind: index(info, "storeKind"),
         flow_kb_per_s: number(info, "oneFlowKbPerS", 0.0),
         link_kb_per_s: list(info, "pipeKbPerS")
-            .get(place(all, "locality").unwrap_or(0))
+            .get(index(all, "locality").unwrap_or(0))
             .and_then(as_f64)
             .unwrap_or(0.0),
         weighted: matches!(string(all, "weightKind"), "nominal" | "rough"),
@@ -189,16 +190,16 @@
         cancel: flag(limits, "cancel", false),
         duplicates: flag(limits, "mayDuplicate", false),
         max_attempts: attempts(limits),
-        max_retry_after: advice(limits),
-        overload_multiple: number(rules, "fallMultiple", usual.overload_multiple),
-        overload_span: span(rules, "fallMs", 2000.0),
-        slow_start_share: number(rules, "startCapacity", usual.slow_start_share),
-        slow_start_span: span(rules, "warmWithinMs", 20_000.0),
-        parent_overload_multiple: number(info, "parentBreaksAt", usual.parent_overload_multiple),
-        parent_slow_start_share: number(info, "parentFloor", usual.parent_slow_start_share),
-        parent_slow_start_span: span(info, "upperColdMs", 22_000.0),
-        purge_done: span(info, "goneEverywhereMs", 6000.0),
-        report: list(part("report"), "fields").iter().map(text).collect(),
+        max_retry_after: max_retry_after_of(limits),
+        overload_multiple: number(overload_rules, "fallMultiple", defaults.overload_multiple),
+        overload_span: duration(overload_rules, "fallMs", 2000.0),
+        slow_start_share: number(overload_rules, "startCapacity", defaults.slow_start_share),
+        slow_start_span: duration(overload_rules, "warmWithinMs", 20_000.0),
+        parent_overload_multiple: number(info, "parentBreaksAt", defaults.parent_overload_multiple),
+        parent_slow_start_share: number(info, "parentFloor", defaults.parent_slow_start_share),
+        parent_slow_start_span: duration(info, "upperColdMs", 22_000.0),
+        purge_done: duration(info, "goneEverywhereMs", 6000.0),
+        report: list(section("report"), "fields").iter().map(text).collect(),
     };
     Ok(settings)
 }
--- a/tests/cache_subset.rs
+++ b/tests/cache_subset.rs
@@ -44,21 +44,24 @@
 }
 
 /// A router with a clock; numbers its requests and answers them.
-struct Rig {
+struct TestRouter {
     router: Router,
     now: MonotonicTime,
     next: RequestId,
 }
 
-impl Rig {
+impl TestRouter {
     fn new(settings: Settings, seed: u64, hosts: Vec<Host>) -> Self {
-        let mut rig =
-            Rig { router: Router::new(settings, seed), now: MonotonicTime::MIN + 100_000 * MS, next: 0 };
-        rig.tell(Event::Members(Members { scope: Scope::Full, hosts }));
+        let mut rig = TestRouter {
+            router: Router::new(settings, seed),
+            now: MonotonicTime::MIN + 100_000 * MS,
+            next: 0,
+        };
+        rig.handle(Event::Members(Members { scope: Scope::Full, hosts }));
         rig
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
@@ -70,7 +73,7 @@
         self.next += 1;
         let (id, ttl) = (self.next, 3000 * MS);
         let request = Request { id, object, ttl, size_kb: 20.0, ..Request::default() };
-        sent(&self.tell(Event::Request(request)))
+        first_attempt(&self.handle(Event::Request(request)))
     }
 
     /// Ends an attempt of the last request; returns the next attempt.
@@ -78,7 +81,7 @@
         let request = if status == Status::Ok { RequestState::Closed } else { RequestState::Open };
         let (id, latency, load) = (self.next, 15 * MS, Vec::new());
         let end = Outcome { id, attempt, status, latency, request, note, waited: Duration::ZERO, load };
-        sent(&self.tell(Event::Outcome(end)))
+        first_attempt(&self.handle(Event::Outcome(end)))
     }
 
     /// Sends a request and answers its first attempt.
@@ -111,7 +114,7 @@
     }
 }
 
-fn sent(actions: &[Action]) -> Option<Get> {
+fn first_attempt(actions: &[Action]) -> Option<Get> {
     actions.iter().find_map(|action| if let Action::Get(get) = action { Some(get.clone()) } else { None })
 }
 
@@ -119,11 +122,11 @@
 /// to each.
 #[test]
 fn a_router_asks_no_more_caches_of_a_large_location_than_of_one_at_the_bound() {
-    let at_bound = Rig::new(settings(), 1, hosts(BOUND as u64)).asked();
+    let at_bound = TestRouter::new(settings(), 1, hosts(BOUND as u64)).asked();
     assert_eq!(at_bound.len(), BOUND, "all caches of a location at the bound are used");
     let mut all = BTreeSet::new();
     for seed in 0..60 {
-        let asked = Rig::new(settings(), seed, hosts(LARGE)).asked();
+        let asked = TestRouter::new(settings(), seed, hosts(LARGE)).asked();
         assert_eq!(asked.len(), BOUND, "seed {seed}");
         assert_ne!(asked, at_bound, "seed {seed}");
         all.extend(asked);
@@ -137,13 +140,13 @@
 #[test]
 fn a_subset_is_that_of_the_routers_number_and_outlives_a_restart() {
     let numbered = |index| Settings { router_index: Some(index), ..settings() };
-    let subset = Rig::new(numbered(5), 1, hosts(LARGE)).asked();
-    assert_eq!(Rig::new(numbered(5), 2, hosts(LARGE)).asked(), subset);
-    assert_ne!(Rig::new(numbered(6), 1, hosts(LARGE)).asked(), subset);
+    let subset = TestRouter::new(numbered(5), 1, hosts(LARGE)).asked();
+    assert_eq!(TestRouter::new(numbered(5), 2, hosts(LARGE)).asked(), subset);
+    assert_ne!(TestRouter::new(numbered(6), 1, hosts(LARGE)).asked(), subset);
     // A router without an index uses its seed, which the next process takes over in an upgrade.
-    let mut before = Rig::new(settings(), 1, hosts(LARGE));
+    let mut before = TestRouter::new(settings(), 1, hosts(LARGE));
     let asked = before.asked();
-    let mut next = Rig::new(settings(), 2, hosts(LARGE));
+    let mut next = TestRouter::new(settings(), 2, hosts(LARGE));
     next.now = before.now;
     next.router.take_over(before.router.learned(before.now, 0), &[Some(0)]);
     assert_eq!(next.asked(), asked);
@@ -155,7 +158,7 @@
 /// Invariant 11: caches outside the subset are used only while all of its members fail.
 #[test]
 fn other_caches_are_asked_only_while_all_of_the_subset_is_out() {
-    let mut rig = Rig::new(settings(), 1, hosts(LARGE));
+    let mut rig = TestRouter::new(settings(), 1, hosts(LARGE));
     let subset = rig.asked();
     // All members but one fail: that one is used.
     let last = *subset.first().expect("a member");
@@ -178,31 +181,31 @@
 /// Invariants 11 and 12: a draining member is replaced by one other cache until it is up again.
 #[test]
 fn a_drained_cache_gives_its_place_to_one_other() {
-    let mut rig = Rig::new(settings(), 1, hosts(LARGE));
+    let mut rig = TestRouter::new(settings(), 1, hosts(LARGE));
     let subset = rig.asked();
     let drained = *subset.first().expect("a member");
     let list = |state| {
         let host = Host { state, ..cache(drained - 1) };
         Event::Members(Members { scope: Scope::Changes, hosts: vec![host] })
     };
-    rig.tell(list(State::Draining));
+    rig.handle(list(State::Draining));
     let without = rig.asked();
     assert!(!without.contains(&drained));
     assert_eq!((without.len(), without.difference(&subset).count()), (BOUND, 1));
-    rig.tell(list(State::Up));
+    rig.handle(list(State::Up));
     assert_eq!(rig.asked(), subset);
 }
 
 /// Invariant 11: members that have just started get work up to their slow start budgets, other caches get the rest.
 #[test]
 fn what_a_cold_subset_may_not_be_sent_goes_to_other_caches() {
-    let subset = Rig::new(settings(), 1, hosts(LARGE)).asked();
+    let subset = TestRouter::new(settings(), 1, hosts(LARGE)).asked();
     let cold = |host: Host| {
         let is_cold = subset.contains(&host.server);
         let started = if is_cold { MonotonicTime::MIN + 100_000 * MS } else { Host::STARTED_LONG_AGO };
         Host { started, ..host }
     };
-    let mut rig = Rig::new(settings(), 1, hosts(LARGE).into_iter().map(cold).collect());
+    let mut rig = TestRouter::new(settings(), 1, hosts(LARGE).into_iter().map(cold).collect());
     // Sends so much at once that the budgets are used up.
     let asked: Vec<ServerId> = (0..400)
         .map(|object| {
@@ -223,7 +226,7 @@
 #[test]
 fn a_subset_that_has_too_much_to_do_leaves_work_to_other_caches() {
     let alone = Settings { routers: 2, zone_routers: vec![0, 1, 1], ..settings() };
-    let mut rig = Rig::new(alone, 1, hosts(LARGE));
+    let mut rig = TestRouter::new(alone, 1, hosts(LARGE));
     let different = |asked: &[ServerId]| asked.iter().collect::<BTreeSet<_>>().len();
     let mut asked = Vec::new();
     // Unanswered requests, four times as many as the subset carries.
@@ -244,8 +247,8 @@
     let siblings = Settings { siblings: Siblings::Location, ..settings() };
     let mut outside = 0;
     for seed in 0..ROUTERS {
-        let subset = Rig::new(settings(), seed, hosts(LARGE)).asked();
-        let first = Rig::new(siblings.clone(), seed, hosts(LARGE)).ask(seed).expect("sent");
+        let subset = TestRouter::new(settings(), seed, hosts(LARGE)).asked();
+        let first = TestRouter::new(siblings.clone(), seed, hosts(LARGE)).ask(seed).expect("sent");
         assert!(subset.contains(&first.server), "{first:?}");
         let is_sibling = first.source <= LARGE && first.source != first.server;
         outside += u64::from(is_sibling && !subset.contains(&first.source));
@@ -256,9 +259,9 @@
 /// Invariant 13: all fills of an object go to one parent, whatever the subset of the router.
 #[test]
 fn homes_at_parents_are_the_same_for_routers_of_different_subsets() {
-    let mut few = Rig::new(settings(), 1, hosts(4));
-    let mut one = Rig::new(settings(), 2, hosts(LARGE));
-    let mut other = Rig::new(settings(), 3, hosts(LARGE));
+    let mut few = TestRouter::new(settings(), 1, hosts(4));
+    let mut one = TestRouter::new(settings(), 2, hosts(LARGE));
+    let mut other = TestRouter::new(settings(), 3, hosts(LARGE));
     for object in 0..OBJECTS {
         let home = few.serve(object).source;
         assert!(PARENTS.contains(&home));
--- a/tests/imports.rs
+++ b/tests/imports.rs
@@ -114,18 +114,18 @@
 }
 
 /// The cycles among modules, each as the names of its modules.
-fn circles(uses: &Uses) -> BTreeSet<BTreeSet<String>> {
+fn cycles(uses: &Uses) -> BTreeSet<BTreeSet<String>> {
     let all: BTreeMap<&Module, BTreeSet<Module>> = uses.keys().map(|m| (m, reached(uses, m))).collect();
-    let mut circles = BTreeSet::new();
+    let mut cycles = BTreeSet::new();
     for (module, reached) in all.iter().filter(|(module, reached)| reached.contains(**module)) {
-        let circle = reached.iter().filter(|other| all.get(other).is_some_and(|r| r.contains(*module)));
-        circles.insert(circle.map(|m| m.join("::")).collect());
+        let cycle = reached.iter().filter(|other| all.get(other).is_some_and(|r| r.contains(*module)));
+        cycles.insert(cycle.map(|m| m.join("::")).collect());
     }
-    circles
+    cycles
 }
 
 #[test]
-fn no_modules_import_each_other_in_a_circle() {
+fn no_modules_import_each_other_in_a_cycle() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut counted = 0;
     let mut found = BTreeSet::new();
@@ -134,14 +134,14 @@
         modules(&folder, &Module::new(), &mut all);
         counted += all.len();
         let name = folder.strip_prefix(root).expect("under the root").to_string_lossy().into_owned();
-        found.extend(circles(&uses(&all)).into_iter().map(|circle| (name.clone(), circle)));
+        found.extend(cycles(&uses(&all)).into_iter().map(|cycle| (name.clone(), cycle)));
     }
     assert!(counted > 100, "{counted} modules read");
     assert!(found.is_empty(), "import cycles: {found:?}");
 }
 
 #[test]
-fn a_circle_is_found_through_braces_and_submodules() {
+fn a_cycle_is_found_through_braces_and_submodules() {
     let source = [
         ("a", "use crate::b::{inner::Thing, other};"),
         ("b", "use self::inner::Thing;"),
@@ -153,6 +153,6 @@
     let code = |text: &str| text.split("//").next().unwrap_or("").to_string();
     let all: BTreeMap<Module, String> =
         source.iter().map(|(name, text)| (module(name), code(text))).collect();
-    let circle = ["a", "b", "c"].iter().map(ToString::to_string).collect();
-    assert_eq!(circles(&uses(&all)), BTreeSet::from([circle]));
+    let cycle = ["a", "b", "c"].iter().map(ToString::to_string).collect();
+    assert_eq!(cycles(&uses(&all)), BTreeSet::from([cycle]));
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -34,14 +34,14 @@
     Host { server, zone, kind, weight: 1.0, ..Host::default() }
 }
 
-fn fleet() -> Vec<Host> {
+fn all_hosts() -> Vec<Host> {
     let mut hosts = vec![host(1, 1, 0), host(2, 1, 0), host(3, 2, 0), host(50, 0, 1), host(51, 0, 1)];
     hosts.push(host(ORIGIN, 0, 2));
     hosts
 }
 
 /// The outcome of an attempt without a load report or a time to the first byte.
-fn ended(
+fn outcome(
     id: RequestId,
     attempt: u64,
     (status, note): (Status, Note),
@@ -61,54 +61,61 @@
 }
 
 /// A router with a clock that the test advances.
-struct Rig {
+struct TestRouter {
     router: Router,
     now: MonotonicTime,
     next: RequestId,
 }
 
-impl Rig {
+impl TestRouter {
     fn new(settings: Settings, hosts: Vec<Host>) -> Self {
-        let mut rig = Rig { router: Router::new(settings, 1), now: START, next: 0 };
-        rig.tell(Event::Members(Members { scope: Scope::Full, hosts }));
+        let mut rig = TestRouter { router: Router::new(settings, 1), now: START, next: 0 };
+        rig.handle(Event::Members(Members { scope: Scope::Full, hosts }));
         rig
     }
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
     }
-    fn wait(&mut self, ms: u64) {
+    fn advance_ms(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
     fn ask(&mut self, object: ObjectId) -> Vec<Action> {
         self.next += 1;
         let (id, ttl) = (self.next, 3000 * MS);
-        self.tell(Event::Request(Request { id, object, ttl, size_kb: 50.0, group: 7, ..Request::default() }))
+        self.handle(Event::Request(Request {
+            id,
+            object,
+            ttl,
+            size_kb: 50.0,
+            group: 7,
+            ..Request::default()
+        }))
     }
     fn answer(&mut self, attempt: u64, status: Status, note: Note) -> Vec<Action> {
         let (id, latency) = (self.next, 60 * MS);
-        self.tell(Event::Outcome(ended(id, attempt, (status, note), latency, closed_if_ok(status))))
+        self.handle(Event::Outcome(outcome(id, attempt, (status, note), latency, closed_if_ok(status))))
     }
     fn serve(&mut self, object: ObjectId, note: Note) -> Get {
-        let sent = get(&self.ask(object)).expect("sent");
+        let sent = sent_attempt(&self.ask(object)).expect("sent");
         self.answer(0, Status::Ok, note);
         sent
     }
     fn list(&mut self, scope: Scope, hosts: Vec<Host>) {
-        self.tell(Event::Members(Members { scope, hosts }));
+        self.handle(Event::Members(Members { scope, hosts }));
     }
 }
 
-fn get(actions: &[Action]) -> Option<Get> {
+fn sent_attempt(actions: &[Action]) -> Option<Get> {
     actions.iter().find_map(|a| if let Action::Get(get) = a { Some(get.clone()) } else { None })
 }
 
-fn refused(actions: &[Action]) -> bool {
+fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
-fn finals(actions: &[Action]) -> usize {
+fn final_answer_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count()
 }
 
@@ -138,23 +145,23 @@
 }
 
 #[test]
-fn a_sibling_is_named_despite_a_negative_record_where_it_pays() {
+fn a_sibling_is_chosen_despite_a_negative_record_if_it_lowers_the_cost() {
     // Unobserved caches have FP 0.2, FN 0.4 and q 0.4, so h = 0.5; the miss probability after a negative record is
     // 0.8 * 0.5 / 0.6 = 2/3. Edge cache alone: 15 + 150 * 2/3 = 115 ms. With a sibling: 15 + 15 + 150 * 4/9 = 97 ms.
-    let mut rig = Rig::new(settings(), fleet());
-    let sent = get(&rig.ask(42)).expect("sent");
+    let mut rig = TestRouter::new(settings(), all_hosts());
+    let sent = sent_attempt(&rig.ask(42)).expect("sent");
     assert!([1, 2].contains(&sent.server));
     assert!([1, 2, 3].contains(&sent.source) && sent.source != sent.server);
 }
 
 #[test]
-fn a_failed_sibling_fill_goes_on_to_a_parent() {
-    let mut rig = Rig::new(settings(), fleet());
-    let first = get(&rig.ask(42)).expect("sent");
+fn a_failed_sibling_fill_is_retried_at_a_parent() {
+    let mut rig = TestRouter::new(settings(), all_hosts());
+    let first = sent_attempt(&rig.ask(42)).expect("sent");
     assert!(first.source < 10);
     let mut actions = rig.answer(0, Status::Miss, Note::SourceLacks);
     for attempt in 1..4 {
-        let next = get(&actions).expect("goes on");
+        let next = sent_attempt(&actions).expect("goes on");
         if next.source >= 50 {
             return;
         }
@@ -166,7 +173,7 @@
 #[test]
 fn parents_are_the_same_from_every_location() {
     let alone = |zone| Settings { zone, siblings: Siblings::None, ..settings() };
-    let (mut a, mut b) = (Rig::new(alone(1), fleet()), Rig::new(alone(2), fleet()));
+    let (mut a, mut b) = (TestRouter::new(alone(1), all_hosts()), TestRouter::new(alone(2), all_hosts()));
     let mut seen = std::collections::BTreeSet::new();
     for object in 0..40 {
         let (x, y) = (a.serve(object, Note::Filled), b.serve(object, Note::Filled));
@@ -177,8 +184,8 @@
 }
 
 #[test]
-fn a_record_draws_the_next_request_and_lapses() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn a_hit_record_directs_the_next_request_to_its_cache() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     for object in 0..60 {
         let miss = rig.serve(object, Note::Filled);
         let hit = rig.serve(object, Note::Hit);
@@ -187,8 +194,8 @@
 }
 
 #[test]
-fn drained_caches_and_sources_get_nothing_new() {
-    let mut rig = Rig::new(settings(), fleet());
+fn draining_and_removed_servers_get_no_new_requests() {
+    let mut rig = TestRouter::new(settings(), all_hosts());
     let mut draining = host(1, 1, 0);
     draining.state = State::Draining;
     let mut removed = host(50, 0, 1);
@@ -200,28 +207,28 @@
     }
     // A full list without cache 2 leaves no cache in this location.
     rig.list(Scope::Full, vec![host(3, 2, 0), host(51, 0, 1), host(ORIGIN, 0, 2)]);
-    assert!(refused(&rig.ask(1)));
+    assert!(is_rejected(&rig.ask(1)));
 }
 
 #[test]
 fn an_empty_or_failed_list_gets_a_prompt_answer() {
-    let mut rig = Rig::new(settings(), Vec::new());
-    assert_eq!(finals(&rig.ask(1)), 1);
+    let mut rig = TestRouter::new(settings(), Vec::new());
+    assert_eq!(final_answer_count(&rig.ask(1)), 1);
     rig.list(Scope::Failed, Vec::new());
-    assert_eq!(finals(&rig.ask(2)), 1);
-    let mut rig = Rig::new(Settings::default(), Vec::new());
-    assert_eq!(finals(&rig.ask(1)), 1);
+    assert_eq!(final_answer_count(&rig.ask(2)), 1);
+    let mut rig = TestRouter::new(Settings::default(), Vec::new());
+    assert_eq!(final_answer_count(&rig.ask(1)), 1);
 }
 
 #[test]
-fn a_cold_cache_is_not_pushed_over() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn a_cold_cache_is_not_overloaded() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let mut back = host(1, 1, 0);
     back.started = rig.now;
     rig.list(Scope::Changes, vec![back]);
     let mut work = 0.0;
     for object in 0..400 {
-        rig.wait(2);
+        rig.advance_ms(2);
         if rig.serve(object, Note::Filled).server == 1 {
             work += 50.0;
         }
@@ -231,8 +238,9 @@
 }
 
 #[test]
-fn a_cold_parent_gets_its_share_for_all_routers() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, routers: 4, ..settings() }, fleet());
+fn a_router_uses_only_its_share_of_a_cold_parents_budget() {
+    let mut rig =
+        TestRouter::new(Settings { siblings: Siblings::None, routers: 4, ..settings() }, all_hosts());
     let mut back = host(50, 0, 1);
     back.started = rig.now;
     rig.list(Scope::Changes, vec![back]);
@@ -241,124 +249,127 @@
 }
 
 #[test]
-fn a_restart_is_inferred_from_failures_before_the_list_names_it() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn a_restart_is_inferred_from_failures_before_the_list_reports_it() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let object = (0..).find(|&o| rig.serve(o, Note::Hit).server == 1).expect("some");
     for _ in 0..2 {
-        rig.wait(9000);
-        if get(&rig.ask(object)).expect("sent").server == 1 {
+        rig.advance_ms(9000);
+        if sent_attempt(&rig.ask(object)).expect("sent").server == 1 {
             rig.answer(0, Status::ConnectFailed, Note::None);
             rig.answer(1, Status::Ok, Note::Filled);
         }
     }
-    rig.wait(9000);
+    rig.advance_ms(9000);
     rig.serve(object, Note::Filled);
     let cold = (0..400).filter(|&o| rig.serve(1000 + o, Note::Filled).server == 1).count();
     assert!(cold < 60, "{cold} requests at once to a cache that has just restarted");
 }
 
 #[test]
-fn nothing_from_before_a_purge_is_asked_for() {
+fn copies_from_before_a_purge_are_not_accepted() {
     for object in [Some(42), None] {
-        let mut rig = Rig::new(settings(), fleet());
-        rig.tell(Event::Purged { age: 300 * MS, group: 7, object });
-        rig.wait(1000);
-        let sent = get(&rig.ask(42)).expect("sent");
+        let mut rig = TestRouter::new(settings(), all_hosts());
+        rig.handle(Event::Purged { age: 300 * MS, group: 7, object });
+        rig.advance_ms(1000);
+        let sent = sent_attempt(&rig.ask(42)).expect("sent");
         assert!(sent.max_age.is_some_and(|age| !age.is_zero() && age < 1300 * MS), "{sent:?}");
-        let again = get(&rig.answer(0, Status::Error, Note::None)).expect("retried");
+        let again = sent_attempt(&rig.answer(0, Status::Error, Note::None)).expect("retried");
         assert!(again.max_age.is_some_and(|age| age < 1300 * MS));
     }
-    let mut rig = Rig::new(settings(), fleet());
-    rig.tell(Event::Purged { age: Duration::ZERO, group: 7, object: Some(42) });
-    assert_eq!(get(&rig.ask(43)).expect("sent").max_age, None);
+    let mut rig = TestRouter::new(settings(), all_hosts());
+    rig.handle(Event::Purged { age: Duration::ZERO, group: 7, object: Some(42) });
+    assert_eq!(sent_attempt(&rig.ask(43)).expect("sent").max_age, None);
 }
 
 #[test]
-fn after_missed_purges_no_copy_is_asked_for_that_is_older_than_a_purge_takes_to_be_done() {
-    let mut rig = Rig::new(settings(), fleet());
+fn after_missed_purges_copies_older_than_a_purge_takes_are_not_accepted() {
+    let mut rig = TestRouter::new(settings(), all_hosts());
     let purge_done = settings().purge_done;
-    rig.tell(Event::PurgesMissed);
-    let bound = get(&rig.ask(42)).expect("sent").max_age.expect("a bound");
+    rig.handle(Event::PurgesMissed);
+    let bound = sent_attempt(&rig.ask(42)).expect("sent").max_age.expect("a bound");
     assert!(bound < purge_done && bound > purge_done / 2, "{bound:?}");
-    rig.tell(Event::Purged { age: 300 * MS, group: 7, object: Some(43) });
-    let purged = get(&rig.ask(43)).expect("sent").max_age.expect("a bound");
+    rig.handle(Event::Purged { age: 300 * MS, group: 7, object: Some(43) });
+    let purged = sent_attempt(&rig.ask(43)).expect("sent").max_age.expect("a bound");
     assert!(purged <= 300 * MS, "the lower of both bounds applies: {purged:?}");
     rig.now += purge_done;
-    assert_eq!(get(&rig.ask(44)).expect("sent").max_age, None);
+    assert_eq!(sent_attempt(&rig.ask(44)).expect("sent").max_age, None);
 }
 
 #[test]
-fn grace_does_not_reach_behind_a_purge() {
+fn grace_does_not_allow_copies_from_before_a_purge() {
     let mut set = settings();
     (set.classes[0].fresh, set.classes[0].grace) = (8000 * MS, 10_000 * MS);
-    let mut rig = Rig::new(set, fleet());
-    assert_eq!(get(&rig.ask(42)).expect("sent").max_age, Some(8000 * MS));
-    assert_eq!(get(&rig.answer(0, Status::Error, Note::None)).expect("again").max_age, Some(18_000 * MS));
-    rig.tell(Event::Purged { age: 50 * MS, group: 7, object: Some(42) });
+    let mut rig = TestRouter::new(set, all_hosts());
+    assert_eq!(sent_attempt(&rig.ask(42)).expect("sent").max_age, Some(8000 * MS));
+    assert_eq!(
+        sent_attempt(&rig.answer(0, Status::Error, Note::None)).expect("again").max_age,
+        Some(18_000 * MS)
+    );
+    rig.handle(Event::Purged { age: 50 * MS, group: 7, object: Some(42) });
     rig.ask(42);
-    let again = get(&rig.answer(0, Status::Error, Note::None)).expect("again");
+    let again = sent_attempt(&rig.answer(0, Status::Error, Note::None)).expect("again");
     assert!(again.max_age.is_some_and(|age| age <= 50 * MS));
 }
 
 #[test]
 fn each_request_gets_one_final_answer_and_nothing_after() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut rig = TestRouter::new(settings(), all_hosts());
     let mut actions = rig.ask(42);
     let mut attempt = 0;
-    while get(&actions).is_some() {
+    while sent_attempt(&actions).is_some() {
         actions = rig.answer(attempt, Status::Error, Note::None);
         attempt += 1;
     }
     assert!(attempt <= 6);
-    assert_eq!(finals(&actions), 1);
+    assert_eq!(final_answer_count(&actions), 1);
     assert!(rig.answer(attempt - 1, Status::Error, Note::None).is_empty());
-    assert!(rig.tell(Event::ClientLeft(rig.next)).is_empty());
-    assert!(rig.tell(Event::ClientLeft(777)).is_empty());
-    assert!(rig.tell(Event::Timer(5)).is_empty());
+    assert!(rig.handle(Event::ClientLeft(rig.next)).is_empty());
+    assert!(rig.handle(Event::ClientLeft(777)).is_empty());
+    assert!(rig.handle(Event::Timer(5)).is_empty());
 }
 
 #[test]
 fn a_timeout_at_the_deadline_is_answered_at_once() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut rig = TestRouter::new(settings(), all_hosts());
     rig.ask(42);
-    rig.wait(3000);
+    rig.advance_ms(3000);
     assert_eq!(rig.answer(0, Status::Timeout, Note::None), [Action::Fail(1)]);
 }
 
 #[test]
-fn what_cannot_be_sent_in_time_is_declined_at_once() {
-    let mut rig = Rig::new(settings(), fleet());
+fn a_request_that_cannot_be_sent_in_time_is_rejected_at_once() {
+    let mut rig = TestRouter::new(settings(), all_hosts());
     let req = Request { id: 9, object: 1, ttl: 1000 * MS, size_kb: 5000.0, ..Request::default() };
-    assert!(refused(&rig.tell(Event::Request(req))));
+    assert!(is_rejected(&rig.handle(Event::Request(req))));
 }
 
-fn with_effect(effect: Effect, group: Group) -> Rig {
+fn with_effect(effect: Effect, group: Group) -> TestRouter {
     let mut set = settings();
     let class = &mut set.classes[0];
     (class.effect, class.group, class.window, class.uncacheable) = (effect, group, 2000 * MS, true);
-    Rig::new(set, fleet())
+    TestRouter::new(set, all_hosts())
 }
 
 /// Without load, the largest objects of a class are answered like all others, even if the latency objective does not
 /// grow with the size.
 #[test]
 fn no_request_is_declined_for_its_size_alone() {
-    for (objective_stretch, told) in [(0.0, true), (0.0, false), (1.0, true), (2.0, true)] {
+    for (objective_stretch, size_stated) in [(0.0, true), (0.0, false), (1.0, true), (2.0, true)] {
         let page = Class { latency_objective: 250 * MS, objective_stretch, ..Class::default() };
-        let mut rig = Rig::new(Settings { classes: vec![page], ..settings() }, fleet());
+        let mut rig = TestRouter::new(Settings { classes: vec![page], ..settings() }, all_hosts());
         for id in 0..60 {
-            rig.wait(3000);
+            rig.advance_ms(3000);
             // Sending times of 50 to 1,820 ms. If sizes are not stated, the first request for each object shows its
             // time.
             let (ttl, time) = (3000 * MS, 50.0 + 30.0 * (id / 2) as f64);
-            let size_kb = if told { time } else { 0.0 };
+            let size_kb = if size_stated { time } else { 0.0 };
             let req = Request { id, object: id / 2, ttl, size_kb, ..Request::default() };
             assert!(
-                get(&rig.tell(Event::Request(req))).is_some(),
+                sent_attempt(&rig.handle(Event::Request(req))).is_some(),
                 "{time} ms, objective stretch {objective_stretch}"
             );
             let took = Duration::from_micros((time * 1000.0) as u64);
-            rig.tell(Event::Outcome(ended(id, 0, (Status::Ok, Note::Hit), took, RequestState::Closed)));
+            rig.handle(Event::Outcome(outcome(id, 0, (Status::Ok, Note::Hit), took, RequestState::Closed)));
         }
     }
 }
@@ -366,28 +377,28 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_is_not_repeated() {
     let mut rig = with_effect(Effect::Unsafe, Group::All);
-    assert_eq!(get(&rig.ask(1)).expect("sent").source, ORIGIN);
-    assert!(get(&rig.answer(0, Status::ConnectFailed, Note::None)).is_some(), "it never ran");
+    assert_eq!(sent_attempt(&rig.ask(1)).expect("sent").source, ORIGIN);
+    assert!(sent_attempt(&rig.answer(0, Status::ConnectFailed, Note::None)).is_some(), "it never ran");
     let actions = rig.answer(1, Status::Reset, Note::None);
-    assert!(get(&actions).is_none() && !refused(&actions) && finals(&actions) == 1);
+    assert!(sent_attempt(&actions).is_none() && !is_rejected(&actions) && final_answer_count(&actions) == 1);
 }
 
 #[test]
 fn a_keyed_request_is_repeated_only_while_its_group_remembers() {
     let mut rig = with_effect(Effect::IdempotencyKey, Group::All);
     rig.ask(1);
-    rig.wait(500);
-    assert!(get(&rig.answer(0, Status::Error, Note::None)).is_some());
-    rig.wait(1600);
+    rig.advance_ms(500);
+    assert!(sent_attempt(&rig.answer(0, Status::Error, Note::None)).is_some());
+    rig.advance_ms(1600);
     let actions = rig.answer(1, Status::Error, Note::None);
-    assert!(get(&actions).is_none() && refused(&actions));
+    assert!(sent_attempt(&actions).is_none() && is_rejected(&actions));
     let mut rig = with_effect(Effect::IdempotencyKey, Group::Cell);
     let mut other = host(2, 1, 0);
     other.cell = 5;
     rig.list(Scope::Changes, vec![other]);
     rig.ask(1);
     let actions = rig.answer(0, Status::Error, Note::None);
-    assert!(get(&actions).is_none() && !refused(&actions) && finals(&actions) == 1);
+    assert!(sent_attempt(&actions).is_none() && !is_rejected(&actions) && final_answer_count(&actions) == 1);
 }
 
 /// A write must not be executed again in another cell, which happened if its first cache had left the list or moved to
@@ -397,21 +408,24 @@
     for (state, zone) in [(State::Removed, 1), (State::Up, 2)] {
         let mut rig = with_effect(Effect::IdempotencyKey, Group::Cell);
         rig.list(Scope::Changes, vec![Host { cell: 5, ..host(2, 1, 0) }, Host { cell: 6, ..host(1, 1, 0) }]);
-        let first = get(&rig.ask(1)).expect("sent").server;
+        let first = sent_attempt(&rig.ask(1)).expect("sent").server;
         rig.list(Scope::Changes, vec![Host { state, ..host(first, zone, 0) }]);
         let actions = rig.answer(0, Status::Error, Note::None);
-        assert!(get(&actions).is_none() && !refused(&actions) && finals(&actions) == 1, "{actions:?}");
+        assert!(
+            sent_attempt(&actions).is_none() && !is_rejected(&actions) && final_answer_count(&actions) == 1,
+            "{actions:?}"
+        );
     }
 }
 
 /// A list of only the own site does not show what a store does at other sites, and must lead to the same choices as the
 /// full list.
 #[test]
-fn a_cache_that_moves_to_another_site_and_back_is_a_new_one() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn a_cache_that_moves_to_another_site_and_back_keeps_no_observations() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let object = (0..).find(|&o| rig.serve(o, Note::Hit).server == 1).expect("some");
     for _ in 0..4 {
-        rig.wait(9000);
+        rig.advance_ms(9000);
         rig.serve(object, Note::Filled);
         rig.ask(object);
         rig.answer(0, Status::ConnectFailed, Note::None);
@@ -420,7 +434,7 @@
     assert_eq!(rig.router.avoided(rig.now).collect::<Vec<_>>(), [1]);
     rig.list(Scope::Changes, vec![host(1, 2, 0)]);
     assert_eq!((rig.router.avoided(rig.now).count(), rig.router.servers()), (0, 6));
-    assert_eq!(get(&rig.ask(object)).expect("sent").server, 2);
+    assert_eq!(sent_attempt(&rig.ask(object)).expect("sent").server, 2);
     rig.answer(0, Status::Ok, Note::Filled);
     rig.list(Scope::Changes, vec![host(1, 1, 0)]);
     assert_eq!(rig.serve(object, Note::Filled).server, 1);
@@ -428,8 +442,8 @@
 
 /// New settings can make listed caches reachable without a new list.
 #[test]
-fn a_router_that_moves_to_another_site_knows_the_caches_there() {
-    let mut rig = Rig::new(settings(), fleet());
+fn a_router_that_moves_to_another_site_uses_the_caches_there() {
+    let mut rig = TestRouter::new(settings(), all_hosts());
     assert_ne!(rig.serve(1, Note::Filled).server, 3);
     rig.router.configure(Settings { zone: 2, ..settings() }, &[]);
     assert_eq!(rig.serve(1, Note::Filled).server, 3);
@@ -438,36 +452,37 @@
 
 /// A hit record of a cache that has left the list would direct requests to it when it returns with an empty cache.
 #[test]
-fn an_answer_of_a_cache_that_has_left_leaves_no_record() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, cancel: false, ..settings() }, fleet());
-    let first = get(&rig.ask(1)).expect("sent").server;
+fn an_answer_of_a_cache_that_has_left_leaves_no_hit_record() {
+    let mut rig =
+        TestRouter::new(Settings { siblings: Siblings::None, cancel: false, ..settings() }, all_hosts());
+    let first = sent_attempt(&rig.ask(1)).expect("sent").server;
     rig.list(Scope::Changes, vec![Host { state: State::Removed, ..host(first, 1, 0) }]);
     rig.answer(0, Status::Ok, Note::Hit);
     rig.list(Scope::Changes, vec![host(first, 1, 0)]);
     // With a hit record the expected time would not include the fill, so the attempt would time out earlier.
-    let waits = |rig: &mut Rig, object| get(&rig.ask(object)).expect("sent").stop_at;
+    let waits = |rig: &mut TestRouter, object| sent_attempt(&rig.ask(object)).expect("sent").stop_at;
     let fresh = (2..).find(|&o| rig.serve(o, Note::Filled).server == first).expect("some");
     let (fresh, again) = (waits(&mut rig, fresh), waits(&mut rig, 1));
     assert_eq!(fresh, again);
 }
 
 #[test]
-fn a_silent_cache_does_not_hold_its_requests() {
+fn requests_at_a_cache_without_responses_are_hedged_or_cancelled() {
     for duplicates in [true, false] {
         let set = Settings { duplicates, siblings: Siblings::None, ..settings() };
-        let mut rig = Rig::new(set, fleet());
-        let first = get(&rig.ask(42)).expect("sent");
+        let mut rig = TestRouter::new(set, all_hosts());
+        let first = sent_attempt(&rig.ask(42)).expect("sent");
         let mut next = None;
         for _ in 0..60 {
-            rig.wait(20);
-            let actions = rig.tell(Event::Timer(0));
+            rig.advance_ms(20);
+            let actions = rig.handle(Event::Timer(0));
             if actions.contains(&Action::Cancel { id: 1, attempt: 0 }) {
                 assert!(
-                    !duplicates && get(&actions).is_none(),
+                    !duplicates && sent_attempt(&actions).is_none(),
                     "no hedged request while the first attempt is in flight"
                 );
-                next = get(&rig.answer(0, Status::Cancelled, Note::None));
-            } else if let Some(copy) = get(&actions) {
+                next = sent_attempt(&rig.answer(0, Status::Cancelled, Note::None));
+            } else if let Some(copy) = sent_attempt(&actions) {
                 assert!(duplicates);
                 next = Some(copy);
             }
@@ -480,12 +495,12 @@
 }
 
 #[test]
-fn a_fast_failing_cache_is_left_to_trials() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn a_fast_failing_cache_is_ejected() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let mut asked = 0;
     for object in 0..200 {
-        rig.wait(5);
-        if get(&rig.ask(object)).expect("sent").server == 1 {
+        rig.advance_ms(5);
+        if sent_attempt(&rig.ask(object)).expect("sent").server == 1 {
             asked += 1;
             rig.answer(0, Status::Error, Note::None);
             rig.answer(1, Status::Ok, Note::Filled);
@@ -497,32 +512,37 @@
 }
 
 #[test]
-fn a_jammed_link_declines_what_cannot_be_in_time() {
+fn requests_that_a_congested_link_cannot_serve_in_time_are_rejected() {
     let lone = vec![host(50, 0, 1), host(51, 0, 1), host(ORIGIN, 0, 2)];
-    let mut rig = Rig::new(Settings { direct: true, ..settings() }, lone);
-    jam(&mut rig);
+    let mut rig = TestRouter::new(Settings { direct: true, ..settings() }, lone);
+    congest_link(&mut rig);
 }
 
 #[test]
-fn a_look_is_made_before_a_jammed_link_is_given_up() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn caches_are_asked_without_a_fill_while_the_link_is_congested() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let mut looked = 0;
     for id in 1..300 {
-        rig.wait(100);
+        rig.advance_ms(100);
         let (ttl, size_kb) = (3000 * MS, 300.0);
-        let sent =
-            get(&rig.tell(Event::Request(Request { id, object: id, ttl, size_kb, ..Request::default() })));
+        let sent = sent_attempt(&rig.handle(Event::Request(Request {
+            id,
+            object: id,
+            ttl,
+            size_kb,
+            ..Request::default()
+        })));
         let (attempt, note) = (0, Note::None);
         if sent.is_some_and(|sent| sent.source == sent.server) {
             looked += 1;
             let (status, latency) = (Status::Miss, MS);
             let end =
-                rig.tell(Event::Outcome(ended(id, attempt, (status, note), latency, RequestState::Open)));
-            assert!(refused(&end), "no fill after a request without one");
+                rig.handle(Event::Outcome(outcome(id, attempt, (status, note), latency, RequestState::Open)));
+            assert!(is_rejected(&end), "no fill after a request without one");
         } else if id > 20 {
             // Fills take 2.4 s instead of 0.3 s.
             let (id, status, latency) = (id - 20, Status::Ok, 2400 * MS);
-            rig.tell(Event::Outcome(ended(
+            rig.handle(Event::Outcome(outcome(
                 id,
                 attempt,
                 (status, Note::Filled),
@@ -534,34 +554,40 @@
     assert!(looked > 20, "{looked}");
 }
 
-fn jam(rig: &mut Rig) {
-    let ask = |rig: &mut Rig, id| {
+fn congest_link(rig: &mut TestRouter) {
+    let ask = |rig: &mut TestRouter, id| {
         let ttl = 3000 * MS;
-        rig.tell(Event::Request(Request { id, object: id, ttl, size_kb: 300.0, ..Request::default() }))
+        rig.handle(Event::Request(Request { id, object: id, ttl, size_kb: 300.0, ..Request::default() }))
     };
     let mut declined = 0;
     for id in 100..400 {
-        rig.wait(10);
-        declined += usize::from(refused(&ask(rig, id)));
+        rig.advance_ms(10);
+        declined += usize::from(is_rejected(&ask(rig, id)));
         // Fills over the link take 1.5 s instead of 0.3 s.
         if id >= 250 {
             let (attempt, status, note) = (0, Status::Ok, Note::Filled);
             let latency = 1500 * MS;
-            rig.tell(Event::Outcome(ended(id - 150, attempt, (status, note), latency, RequestState::Closed)));
+            rig.handle(Event::Outcome(outcome(
+                id - 150,
+                attempt,
+                (status, note),
+                latency,
+                RequestState::Closed,
+            )));
         }
     }
     assert!(declined > 50, "{declined}");
 }
 
 #[test]
-fn late_errors_of_fills_do_not_empty_a_location() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn late_fill_errors_do_not_eject_the_caches_of_a_location() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     for object in 0..30 {
-        rig.wait(500);
+        rig.advance_ms(500);
         rig.ask(object);
         let (id, latency, status) = (rig.next, 2000 * MS, Status::Error);
-        let end = ended(id, 0, (status, Note::None), latency, RequestState::Open);
-        rig.tell(Event::Outcome(end));
+        let end = outcome(id, 0, (status, Note::None), latency, RequestState::Open);
+        rig.handle(Event::Outcome(end));
         rig.answer(1, Status::Ok, Note::Filled);
     }
     let asked: Vec<_> = (100..140).map(|o| rig.serve(o, Note::Filled).server).collect();
@@ -569,11 +595,11 @@
 }
 
 #[test]
-fn a_request_names_one_sibling_at_most() {
-    let mut rig = Rig::new(settings(), fleet());
+fn a_request_uses_at_most_one_sibling() {
+    let mut rig = TestRouter::new(settings(), all_hosts());
     for object in 0..40 {
-        if get(&rig.ask(object)).is_some_and(|g| g.source < 10) {
-            let next = get(&rig.answer(0, Status::Miss, Note::SourceLacks)).expect("goes on");
+        if sent_attempt(&rig.ask(object)).is_some_and(|g| g.source < 10) {
+            let next = sent_attempt(&rig.answer(0, Status::Miss, Note::SourceLacks)).expect("goes on");
             assert!(next.source >= 50, "{next:?}");
             rig.answer(1, Status::Ok, Note::Filled);
         }
@@ -581,15 +607,15 @@
 }
 
 #[test]
-fn a_failed_origin_is_not_laid_to_the_parents_nor_asked_again() {
+fn an_origin_failure_is_not_retried_and_ejects_no_parents() {
     let mut asked = std::collections::BTreeSet::new();
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     for object in 0..60 {
-        rig.wait(5);
-        let sent = get(&rig.ask(object)).expect("sent");
+        rig.advance_ms(5);
+        let sent = sent_attempt(&rig.ask(object)).expect("sent");
         if sent.cached_only {
             assert!(object > 2, "fills are withheld only after some failures");
-            assert!(refused(&rig.answer(0, Status::Miss, Note::SourceLacks)));
+            assert!(is_rejected(&rig.answer(0, Status::Miss, Note::SourceLacks)));
             continue;
         }
         asked.insert(sent.source);
@@ -600,18 +626,18 @@
 }
 
 #[test]
-fn a_lost_location_goes_direct_only_where_allowed() {
+fn without_caches_requests_go_directly_to_parents_only_if_allowed() {
     let gone = vec![host(50, 0, 1), host(51, 0, 1), host(ORIGIN, 0, 2)];
-    let mut rig = Rig::new(Settings { direct: true, ..settings() }, gone.clone());
-    let sent = get(&rig.ask(1)).expect("sent");
+    let mut rig = TestRouter::new(Settings { direct: true, ..settings() }, gone.clone());
+    let sent = sent_attempt(&rig.ask(1)).expect("sent");
     assert!([50, 51].contains(&sent.server) && sent.source == ORIGIN);
-    assert!(refused(&Rig::new(settings(), gone).ask(1)));
+    assert!(is_rejected(&TestRouter::new(settings(), gone).ask(1)));
 }
 
 /// Independent routers of one deployment.
-fn many(count: usize, settings: &Settings, hosts: &[Host]) -> Vec<Rig> {
+fn independent_routers(count: usize, settings: &Settings, hosts: &[Host]) -> Vec<TestRouter> {
     let rig = |n: usize| {
-        let mut rig = Rig::new(settings.clone(), hosts.to_vec());
+        let mut rig = TestRouter::new(settings.clone(), hosts.to_vec());
         rig.router = Router::new(settings.clone(), 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(n as u64 + 1));
         rig.list(Scope::Full, hosts.to_vec());
         (rig.next, rig.now) = (1_000_000 * n as u64, START);
@@ -621,22 +647,22 @@
 }
 
 /// The most work (ms of sending time) sent within a span of 2 s; `sent` has the time (ms) and work of each request.
-fn most_in_a_span(sent: &[(u64, f64)]) -> f64 {
+fn max_work_in_a_span(sent: &[(u64, f64)]) -> f64 {
     let from = |t: u64| sent.iter().filter(|&&(at, _)| at >= t && at < t + 2000).map(|&(_, w)| w).sum();
     sent.iter().map(|&(t, _)| from(t)).fold(0.0, f64::max)
 }
 
 #[test]
-fn seven_routers_together_do_not_push_over_a_cold_cache() {
+fn seven_routers_together_do_not_overload_a_cold_cache() {
     let set = Settings { siblings: Siblings::None, zone_routers: vec![0, 7, 1], ..settings() };
-    let mut rigs = many(7, &set, &fleet());
+    let mut rigs = independent_routers(7, &set, &all_hosts());
     let mut back = host(1, 1, 0);
     back.started = START;
     rigs.iter_mut().for_each(|r| r.list(Scope::Changes, vec![back.clone()]));
     let mut sent = Vec::new();
     for step in 0..400 {
         for rig in &mut rigs {
-            rig.wait(10);
+            rig.advance_ms(10);
             let object = step % 40 + rig.next % 7 * 40;
             if rig.serve(object, Note::Filled).server == 1 {
                 sent.push((10 * step, 50.0));
@@ -644,18 +670,18 @@
         }
     }
     // The bound at the end: 3 x (0.2 + 0.8 x 40%) x 4 transfers x 2 s; and the cache does get some work.
-    let most = most_in_a_span(&sent);
+    let most = max_work_in_a_span(&sent);
     assert!(most > 100.0 && most < 3.0 * 0.36 * 4.0 * 2000.0, "{most} ms in a span");
 }
 
 #[test]
 fn three_hundred_routers_share_a_cold_parents_budget_of_less_than_a_request_each() {
     let set = Settings { siblings: Siblings::None, routers: 300, zone_routers: vec![0, 7, 1], ..settings() };
-    let mut rigs = many(300, &set, &fleet());
+    let mut rigs = independent_routers(300, &set, &all_hosts());
     let mut usual = 0.0;
-    let round = |rigs: &mut [Rig], step: u64, sent: &mut Vec<(u64, f64)>| {
+    let round = |rigs: &mut [TestRouter], step: u64, sent: &mut Vec<(u64, f64)>| {
         for rig in rigs.iter_mut() {
-            rig.wait(500);
+            rig.advance_ms(500);
             if rig.serve(step * 300 + rig.next % 991, Note::Filled).source == 50 {
                 sent.push((500 * step, 50.0));
             }
@@ -669,36 +695,36 @@
     rigs.iter_mut().for_each(|r| r.list(Scope::Changes, vec![back.clone()]));
     sent.clear();
     (40..50).for_each(|step| round(&mut rigs, step, &mut sent));
-    let most = most_in_a_span(&sent);
+    let most = max_work_in_a_span(&sent);
     // The bound: twice its share of capacity after 5 s (0.06 + 0.94 x 5 / 22) of its usual work in 2 s.
     assert!(most > 0.0 && most < 2.0 * 0.27 * usual, "{most} of {usual} ms in a span");
 }
 
 #[test]
-fn ones_own_request_is_not_taken_for_that_of_all_routers() {
+fn a_single_own_request_is_not_extrapolated_to_all_routers() {
     let set = Settings { siblings: Siblings::None, zone_routers: vec![0, 9, 1], ..settings() };
-    let mut rig = Rig::new(set, fleet());
+    let mut rig = TestRouter::new(set, all_hosts());
     for id in 0..20 {
         // Two transfers would be in time; nine routers with one each would be congestion.
-        rig.wait(2000);
+        rig.advance_ms(2000);
         let (ttl, size_kb) = (3000 * MS, 300.0);
         let req = Request { id, object: id, ttl, size_kb, ..Request::default() };
-        assert!(get(&rig.tell(Event::Request(req))).is_some(), "request {id} was declined");
+        assert!(sent_attempt(&rig.handle(Event::Request(req))).is_some(), "request {id} was declined");
         let (status, latency, note) = (Status::Ok, 320 * MS, Note::Filled);
-        rig.tell(Event::Outcome(ended(id, 0, (status, note), latency, RequestState::Closed)));
+        rig.handle(Event::Outcome(outcome(id, 0, (status, note), latency, RequestState::Closed)));
     }
 }
 
 #[test]
-fn a_cache_that_loses_some_answers_is_neither_left_nor_taken_for_cold() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn a_cache_that_loses_some_answers_is_neither_ejected_nor_considered_cold() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let (mut asked, mut again) = (0, 0);
     for object in 0..200 {
-        rig.wait(200);
-        let sent = get(&rig.ask(object)).expect("sent");
+        rig.advance_ms(200);
+        let sent = sent_attempt(&rig.ask(object)).expect("sent");
         asked += usize::from(sent.server == 1);
         if object % 5 == 0 {
-            let next = get(&rig.answer(0, Status::Reset, Note::None)).expect("retried");
+            let next = sent_attempt(&rig.answer(0, Status::Reset, Note::None)).expect("retried");
             again += usize::from(next.server == sent.server);
             rig.answer(1, Status::Ok, Note::Hit);
         } else {
@@ -710,42 +736,42 @@
 }
 
 #[test]
-fn one_refused_connection_shows_a_restart() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+fn one_failed_connection_indicates_a_restart() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let object = (0..).find(|&o| rig.serve(o, Note::Hit).server == 1).expect("some");
-    rig.wait(9000);
+    rig.advance_ms(9000);
     rig.ask(object);
     rig.answer(0, Status::ConnectFailed, Note::None);
     rig.answer(1, Status::Ok, Note::Filled);
-    rig.wait(9000);
+    rig.advance_ms(9000);
     assert_eq!(rig.serve(object, Note::Filled).server, 1, "the trial request");
     let cold = (0..400).filter(|&o| rig.serve(1000 + o, Note::Filled).server == 1).count();
     assert!(cold < 60, "{cold} requests at once to a cache that has just restarted");
 }
 
 #[test]
-fn fills_are_withheld_while_parents_bring_none_and_their_return_is_seen() {
+fn fills_are_withheld_while_parents_fail_and_resumed_after_their_recovery() {
     for note in [Note::SourceRefused, Note::None] {
-        let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+        let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
         let (mut attempts, mut looks) = (0, 0);
         for object in 0..200 {
-            rig.wait(50);
-            let mut sent = get(&rig.ask(object));
+            rig.advance_ms(50);
+            let mut sent = sent_attempt(&rig.ask(object));
             let mut tries = 0;
             while let Some(get_) = sent.take() {
                 attempts += 1;
                 let look = get_.cached_only || get_.source == get_.server;
                 looks += usize::from(look);
                 let (status, note) = if look { (Status::Miss, Note::None) } else { (Status::Full, note) };
-                sent = get(&rig.answer(tries, status, note));
+                sent = sent_attempt(&rig.answer(tries, status, note));
                 tries += 1;
             }
         }
         assert!(attempts < 240, "{attempts} attempts for 200 requests");
         assert!(looks > 100, "{looks} attempts without a fill");
         let filled = (1000..1200).filter(|&object| {
-            rig.wait(50);
-            let sent = get(&rig.ask(object)).expect("sent");
+            rig.advance_ms(50);
+            let sent = sent_attempt(&rig.ask(object)).expect("sent");
             let fill = !sent.cached_only && sent.source != sent.server;
             let (status, note) = if fill { (Status::Ok, Note::Filled) } else { (Status::Miss, Note::None) };
             rig.answer(0, status, note);
@@ -756,13 +782,13 @@
 }
 
 #[test]
-fn fills_that_come_too_late_are_withheld_but_what_parents_hold_is_served() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
-    let mut peeks = 0;
+fn late_fills_are_withheld_but_cached_copies_of_parents_are_served() {
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
+    let mut cached_only_count = 0;
     for object in 0..100 {
-        rig.wait(50);
-        let sent = get(&rig.ask(object)).expect("sent");
-        peeks += usize::from(sent.cached_only);
+        rig.advance_ms(50);
+        let sent = sent_attempt(&rig.ask(object)).expect("sent");
+        cached_only_count += usize::from(sent.cached_only);
         assert!(
             !sent.cached_only || [50, 51].contains(&sent.source),
             "only parents are asked for cached copies: {sent:?}"
@@ -770,80 +796,86 @@
         // Fills by the origin arrive late; parents serve cached copies in time.
         let late = if sent.cached_only { 60 * MS } else { 2000 * MS };
         let (id, status, note) = (rig.next, Status::Ok, Note::Filled);
-        let end = ended(id, 0, (status, note), late, RequestState::Closed);
-        rig.tell(Event::Outcome(end));
+        let end = outcome(id, 0, (status, note), late, RequestState::Closed);
+        rig.handle(Event::Outcome(end));
     }
-    assert!(peeks > 60, "{peeks} of 100 requests do not reach the origin");
+    assert!(cached_only_count > 60, "{cached_only_count} of 100 requests do not reach the origin");
 }
 
 #[test]
-fn clients_of_little_patience_are_tried_and_their_leaving_withholds_no_fills() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, flow_kb_per_s: 0.0, ..settings() }, fleet());
-    let ask = |rig: &mut Rig, object, ttl| {
+fn requests_with_short_timeouts_are_sent_and_their_timeouts_withhold_no_fills() {
+    let mut rig =
+        TestRouter::new(Settings { siblings: Siblings::None, flow_kb_per_s: 0.0, ..settings() }, all_hosts());
+    let ask = |rig: &mut TestRouter, object, ttl| {
         rig.next += 1;
         let request = Request { id: rig.next, object, ttl, group: 7, ..Request::default() };
-        rig.tell(Event::Request(request))
+        rig.handle(Event::Request(request))
     };
     for object in 0..40 {
-        rig.wait(100);
+        rig.advance_ms(100);
         // The class is assumed to take 100 ms; smaller objects take less.
-        let sent = get(&ask(&mut rig, object, 60 * MS));
+        let sent = sent_attempt(&ask(&mut rig, object, 60 * MS));
         assert!(sent.is_some(), "object {object} is not requested");
         let (id, status, note) = (rig.next, Status::Timeout, Note::None);
-        rig.wait(60);
-        rig.tell(Event::Outcome(ended(id, 0, (status, note), 60 * MS, RequestState::Open)));
+        rig.advance_ms(60);
+        rig.handle(Event::Outcome(outcome(id, 0, (status, note), 60 * MS, RequestState::Open)));
     }
-    assert!(refused(&ask(&mut rig, 100, 10 * MS)), "no object can be sent that fast");
+    assert!(is_rejected(&ask(&mut rig, 100, 10 * MS)), "no object can be sent that fast");
     for object in 200..220 {
-        let sent = get(&ask(&mut rig, object, 3000 * MS)).expect("sent");
+        let sent = sent_attempt(&ask(&mut rig, object, 3000 * MS)).expect("sent");
         assert!(!sent.cached_only && sent.source != sent.server, "the origin did not fail");
     }
 }
 
 #[test]
-fn a_cache_that_grows_slow_is_left_though_it_answers() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, flow_kb_per_s: 0.0, ..settings() }, fleet());
+fn a_cache_that_becomes_slow_is_avoided_although_it_answers() {
+    let mut rig =
+        TestRouter::new(Settings { siblings: Siblings::None, flow_kb_per_s: 0.0, ..settings() }, all_hosts());
     let mut late = 0;
     for n in 0..300 {
-        rig.wait(50);
-        let sent = get(&rig.ask(n % 30)).expect("sent");
+        rig.advance_ms(50);
+        let sent = sent_attempt(&rig.ask(n % 30)).expect("sent");
         let slow = sent.server == 1 && n >= 200;
         late += usize::from(slow);
         let (id, latency) = (rig.next, if slow { 400 * MS } else { 55 * MS });
         let (status, note) = (Status::Ok, Note::Hit);
-        rig.tell(Event::Outcome(ended(id, 0, (status, note), latency, RequestState::Closed)));
+        rig.handle(Event::Outcome(outcome(id, 0, (status, note), latency, RequestState::Closed)));
     }
     assert!(late < 20, "{late} of 100 requests to a cache that is eight times slower than the other");
 }
 
 #[test]
-fn a_sibling_that_lacks_the_object_is_no_reason_for_a_stale_copy() {
+fn a_sibling_without_the_object_does_not_justify_a_stale_copy() {
     let mut set = settings();
     (set.classes[0].fresh, set.classes[0].grace) = (8000 * MS, 10_000 * MS);
-    let mut rig = Rig::new(set, fleet());
-    let object = (0..).find(|&o| get(&rig.ask(o)).is_some_and(|g| g.source < 10)).expect("some");
-    let next = get(&rig.answer(0, Status::Miss, Note::SourceLacks)).expect("goes on");
+    let mut rig = TestRouter::new(set, all_hosts());
+    let object = (0..).find(|&o| sent_attempt(&rig.ask(o)).is_some_and(|g| g.source < 10)).expect("some");
+    let next = sent_attempt(&rig.answer(0, Status::Miss, Note::SourceLacks)).expect("goes on");
     assert_eq!(next.max_age, Some(8000 * MS), "object {object}");
 }
 
 #[test]
-fn odd_events_get_one_lawful_answer() {
+fn unusual_events_get_one_valid_answer() {
     let zones = Settings { zone: 9, zone_routers: vec![0, 0], ..settings() };
-    assert_eq!(finals(&Rig::new(zones, fleet()).ask(1)), 1, "a zone without routers and caches");
-    let twice = [fleet(), fleet()].concat();
-    let mut rig = Rig::new(Settings { origin_kind: None, parent_kind: None, ..settings() }, twice);
+    assert_eq!(
+        final_answer_count(&TestRouter::new(zones, all_hosts()).ask(1)),
+        1,
+        "a zone without routers and caches"
+    );
+    let twice = [all_hosts(), all_hosts()].concat();
+    let mut rig = TestRouter::new(Settings { origin_kind: None, parent_kind: None, ..settings() }, twice);
     let (id, ttl) = (500, 3000 * MS);
     let req = |class| Request { id, class, object: 3, ttl, size_kb: 50.0, ..Request::default() };
-    assert_eq!(rig.tell(Event::Request(req(7))), [Action::Fail(id)], "an unknown class");
-    assert!(get(&rig.tell(Event::Request(req(0)))).is_some());
-    assert_eq!(rig.tell(Event::Request(req(0))), [], "a repeated id is ignored");
+    assert_eq!(rig.handle(Event::Request(req(7))), [Action::Fail(id)], "an unknown class");
+    assert!(sent_attempt(&rig.handle(Event::Request(req(0)))).is_some());
+    assert_eq!(rig.handle(Event::Request(req(0))), [], "a repeated id is ignored");
     let (status, latency, note) = (Status::Ok, MS, Note::Hit);
-    let unknown = ended(77, 3, (status, note), latency, RequestState::Closed);
-    assert!(get(&rig.tell(Event::Outcome(unknown))).is_none());
+    let unknown = outcome(77, 3, (status, note), latency, RequestState::Closed);
+    assert!(sent_attempt(&rig.handle(Event::Outcome(unknown))).is_none());
 }
 
 #[test]
-fn odd_settings_give_lawful_decisions() {
+fn unusual_settings_give_valid_decisions() {
     let bare = Settings {
         parent_kind: None,
         siblings: Siblings::None,
@@ -856,39 +888,40 @@
         ..settings()
     };
     let weightless = |s: ServerId, kind| Host { weight: 0.0, ..host(s, 1, kind) };
-    let mut rig = Rig::new(bare, vec![weightless(1, 0), weightless(ORIGIN, 2)]);
+    let mut rig = TestRouter::new(bare, vec![weightless(1, 0), weightless(ORIGIN, 2)]);
     let sent = rig.serve(1, Note::None);
     assert_eq!((sent.server, sent.source), (1, ORIGIN));
     assert!(sent.stop_at.is_some(), "an attempt that cannot be cancelled has a time-out");
     rig.ask(2);
-    assert_eq!(finals(&rig.answer(0, Status::Error, Note::None)), 1);
+    assert_eq!(final_answer_count(&rig.answer(0, Status::Error, Note::None)), 1);
 }
 
 #[test]
 fn an_attempt_that_was_never_sent_is_made_elsewhere_while_there_is_time() {
-    let mut rig = Rig::new(settings(), fleet());
-    let first = get(&rig.ask(1)).expect("sent");
+    let mut rig = TestRouter::new(settings(), all_hosts());
+    let first = sent_attempt(&rig.ask(1)).expect("sent");
     // The store was removed, or a purge arrived, while the attempt waited for its connection.
     rig.list(Scope::Changes, vec![Host { state: State::Draining, ..host(first.server, 1, 0) }]);
-    let second = get(&rig.answer(0, Status::NeverSent, Note::None)).expect("sent again");
+    let second = sent_attempt(&rig.answer(0, Status::NeverSent, Note::None)).expect("sent again");
     assert_ne!(second.server, first.server);
-    rig.wait(4000);
-    assert_eq!(finals(&rig.answer(1, Status::NeverSent, Note::None)), 1);
+    rig.advance_ms(4000);
+    assert_eq!(final_answer_count(&rig.answer(1, Status::NeverSent, Note::None)), 1);
 }
 
 #[test]
-fn lost_answers_do_not_talk_the_link_down() {
+fn lost_answers_do_not_lower_the_estimated_link_capacity() {
     // The link carries 40 transfers; 30 are in flight, and a few of them never end.
-    let told = Settings { link_kb_per_s: 40_000.0, weighted: true, siblings: Siblings::None, ..settings() };
-    let wide = fleet().into_iter().map(|h| Host { weight: 400.0, ..h }).collect();
-    let mut rig = Rig::new(told, wide);
+    let settings =
+        Settings { link_kb_per_s: 40_000.0, weighted: true, siblings: Siblings::None, ..settings() };
+    let wide = all_hosts().into_iter().map(|h| Host { weight: 400.0, ..h }).collect();
+    let mut rig = TestRouter::new(settings, wide);
     let mut out = std::collections::VecDeque::new();
     for object in 0..200 {
-        rig.wait(15);
+        rig.advance_ms(15);
         rig.next += 1;
         let (id, ttl, size_kb) = (rig.next, 2800 * MS, 300.0);
         let request = Request { id, object, ttl, size_kb, group: 7, ..Request::default() };
-        let sent = get(&rig.tell(Event::Request(request))).expect("sent");
+        let sent = sent_attempt(&rig.handle(Event::Request(request))).expect("sent");
         assert!(sent.source != sent.server, "object {object} is not filled although the link has capacity");
         out.push_back(id);
         if out.len() > 30 {
@@ -897,25 +930,25 @@
             let (status, note) =
                 if lost { (Status::Timeout, Note::None) } else { (Status::Ok, Note::Filled) };
             let latency = if lost { 2800 * MS } else { 310 * MS };
-            rig.tell(Event::Outcome(ended(id, 0, (status, note), latency, RequestState::Closed)));
+            rig.handle(Event::Outcome(outcome(id, 0, (status, note), latency, RequestState::Closed)));
         }
     }
 }
 
 #[test]
-fn slow_fills_of_untold_size_do_not_talk_the_link_down_until_fills_are_refused() {
-    let told = Settings { link_kb_per_s: 400_000.0, weighted: true, ..settings() };
-    let wide = fleet().into_iter().map(|h| Host { weight: 400.0, ..h }).collect();
-    let mut rig = Rig::new(told, wide);
-    let ask = |rig: &mut Rig, object| {
+fn slow_fills_of_unknown_size_do_not_lower_the_link_capacity_until_fills_are_rejected() {
+    let settings = Settings { link_kb_per_s: 400_000.0, weighted: true, ..settings() };
+    let wide = all_hosts().into_iter().map(|h| Host { weight: 400.0, ..h }).collect();
+    let mut rig = TestRouter::new(settings, wide);
+    let ask = |rig: &mut TestRouter, object| {
         rig.next += 1;
         let request = Request { id: rig.next, object, ttl: 6000 * MS, group: 7, ..Request::default() };
         // An attempt without a fill shows that the fill was rejected.
-        get(&rig.tell(Event::Request(request))).filter(|g| g.source != g.server).map(|_| rig.next)
+        sent_attempt(&rig.handle(Event::Request(request))).filter(|g| g.source != g.server).map(|_| rig.next)
     };
-    let end = |rig: &mut Rig, id, note, latency| {
-        let outcome = ended(id, 0, (Status::Ok, note), latency, RequestState::Closed);
-        rig.tell(Event::Outcome(outcome));
+    let end = |rig: &mut TestRouter, id, note, latency| {
+        let outcome = outcome(id, 0, (Status::Ok, note), latency, RequestState::Closed);
+        rig.handle(Event::Outcome(outcome));
     };
     // The class is observed to take 200 ms; the objects that follow are all new and take longer.
     let first = ask(&mut rig, 1).expect("sent");
@@ -923,13 +956,13 @@
     for round in 0..5 {
         let ids: Vec<RequestId> = (0..40).filter_map(|n| ask(&mut rig, 1000 + round * 40 + n)).collect();
         assert_eq!(ids.len(), 40, "round {round}: fills are rejected");
-        rig.wait(600);
+        rig.advance_ms(600);
         ids.into_iter().for_each(|id| end(&mut rig, id, Note::Filled, 600 * MS));
     }
 }
 
 /// For each of these objects, the source of its first attempt and whether that may only serve from cache.
-fn sources(rig: &mut Rig, objects: std::ops::Range<u64>) -> Vec<(ServerId, bool)> {
+fn sources(rig: &mut TestRouter, objects: std::ops::Range<u64>) -> Vec<(ServerId, bool)> {
     objects
         .map(|object| {
             let actions = rig.ask(1000 + object);
@@ -938,9 +971,9 @@
                 _ => None,
             });
             let (id, latency) = (rig.next, 5 * MS);
-            rig.wait(20);
+            rig.advance_ms(20);
             let (status, note) = (Status::Ok, Note::Filled);
-            rig.tell(Event::Outcome(ended(id, 0, (status, note), latency, RequestState::Closed)));
+            rig.handle(Event::Outcome(outcome(id, 0, (status, note), latency, RequestState::Closed)));
             get.expect("an attempt")
         })
         .collect()
@@ -951,19 +984,19 @@
 }
 
 #[test]
-fn a_shape_whose_weights_are_the_listed_ones_changes_no_home() {
+fn a_topology_with_the_listed_weights_changes_no_home() {
     let settings = Settings { weighted: true, siblings: Siblings::None, ..settings() };
-    let mut plain = Rig::new(settings.clone(), fleet());
-    let mut shaped = Rig::new(settings, fleet());
+    let mut plain = TestRouter::new(settings.clone(), all_hosts());
+    let mut shaped = TestRouter::new(settings, all_hosts());
     let homes = ParentWeights { weights: weights(&[(50, 1.0), (51, 1.0)]), ..ParentWeights::default() };
-    shaped.tell(Event::ParentWeights(Some(homes)));
+    shaped.handle(Event::ParentWeights(Some(homes)));
     assert_eq!(sources(&mut plain, 0..100), sources(&mut shaped, 0..100));
 }
 
 #[test]
-fn objects_move_by_weight_and_the_home_of_before_is_asked_first_for_what_it_holds() {
+fn objects_move_by_weight_and_their_former_home_is_asked_first_for_cached_copies() {
     let settings = Settings { weighted: true, siblings: Siblings::None, ..settings() };
-    let mut rig = Rig::new(settings, fleet());
+    let mut rig = TestRouter::new(settings, all_hosts());
     let shape = |now: &[(ServerId, f64)], before: &[(ServerId, f64)]| {
         Event::ParentWeights(Some(ParentWeights {
             weights: weights(now),
@@ -971,12 +1004,12 @@
             previous_share: 1.0,
         }))
     };
-    rig.tell(shape(&[(50, 1.0)], &[]));
+    rig.handle(shape(&[(50, 1.0)], &[]));
     assert!(
         sources(&mut rig, 0..50).iter().all(|s| *s == (50, false)),
         "a parent without a weight has no objects"
     );
-    rig.tell(shape(&[(50, 1.0), (51, 0.25)], &[(50, 1.0)]));
+    rig.handle(shape(&[(50, 1.0), (51, 0.25)], &[(50, 1.0)]));
     // Objects that move are first requested from the cache of their former home, 50.
     let moved = sources(&mut rig, 0..400).iter().filter(|s| **s == (50, true)).count();
     assert!((40..130).contains(&moved), "about a fifth of the objects moves: {moved} of 400");
@@ -985,8 +1018,13 @@
         (0..400u64).find(|n| sources(&mut rig, *n..*n + 1) == [(50, true)]).expect("an object that moves");
     rig.ask(1000 + object);
     let id = rig.next;
-    let again =
-        rig.tell(Event::Outcome(ended(id, 0, (Status::Miss, Note::SourceLacks), 5 * MS, RequestState::Open)));
+    let again = rig.handle(Event::Outcome(outcome(
+        id,
+        0,
+        (Status::Miss, Note::SourceLacks),
+        5 * MS,
+        RequestState::Open,
+    )));
     assert!(
         again.iter().any(|a| matches!(a, Action::Get(get) if get.source == 51 && !get.cached_only)),
         "{again:?}"
@@ -997,10 +1035,10 @@
         previous: weights(&[(50, 1.0)]),
         previous_share: 0.5,
     };
-    rig.tell(Event::ParentWeights(Some(half)));
+    rig.handle(Event::ParentWeights(Some(half)));
     let left = sources(&mut rig, 0..400).iter().filter(|s| **s == (50, true)).count();
     assert!((moved / 3..moved * 2 / 3).contains(&left), "{left} of {moved}");
-    rig.tell(Event::ParentWeights(None));
+    rig.handle(Event::ParentWeights(None));
     assert!(sources(&mut rig, 0..100).contains(&(51, false)));
 }
 
@@ -1009,12 +1047,15 @@
 fn a_refused_client_may_come_back_while_its_answer_still_counts() {
     // Without a cache the request is rejected at once. The objective of 250 ms counts from the first try, so a retry
     // after that time would use as much capacity without any value.
-    let mut rig = Rig::new(settings(), vec![host(50, 0, 1), host(ORIGIN, 0, 2)]);
-    let told = rig.ask(42).into_iter().find_map(|a| match a {
+    let mut rig = TestRouter::new(settings(), vec![host(50, 0, 1), host(ORIGIN, 0, 2)]);
+    let retry_after = rig.ask(42).into_iter().find_map(|a| match a {
         Action::Refuse { retry_after, .. } => Some(retry_after),
         _ => None,
     });
-    assert!((Duration::from_micros(1)..=250 * MS / 4).contains(&told.expect("refused")), "{told:?}");
+    assert!(
+        (Duration::from_micros(1)..=250 * MS / 4).contains(&retry_after.expect("refused")),
+        "{retry_after:?}"
+    );
 }
 
 /// docs/design/large-fleet.md, invariant 2.
@@ -1023,21 +1064,23 @@
     // One of a hundred routers sees few requests at each of twenty caches, so no cache completes an epoch of q.
     let caches = (1..=20).map(|n| host(n, 1, 0));
     let hosts = caches.chain([host(50, 0, 1), host(51, 0, 1), host(ORIGIN, 0, 2)]).collect();
-    let mut rig = Rig::new(settings(), hosts);
+    let mut rig = TestRouter::new(settings(), hosts);
     let mut named = Vec::new();
     for object in 0..200 {
-        rig.wait(130);
-        let mut sent = get(&rig.ask(object)).expect("sent");
+        rig.advance_ms(130);
+        let mut sent = sent_attempt(&rig.ask(object)).expect("sent");
         let (mut attempt, mut siblings) = (0, 0);
         while sent.source < 50 {
             siblings += 1;
-            let Some(next) = get(&rig.answer(attempt, Status::Miss, Note::SourceLacks)) else { break };
+            let Some(next) = sent_attempt(&rig.answer(attempt, Status::Miss, Note::SourceLacks)) else {
+                break;
+            };
             (sent, attempt) = (next, attempt + 1);
         }
         if sent.source >= 50 {
             let (id, latency) = (rig.next, 300 * MS);
-            let filled = ended(id, attempt, (Status::Ok, Note::Filled), latency, RequestState::Closed);
-            rig.tell(Event::Outcome(filled));
+            let filled = outcome(id, attempt, (Status::Ok, Note::Filled), latency, RequestState::Closed);
+            rig.handle(Event::Outcome(filled));
         }
         named.push(siblings);
     }
@@ -1048,16 +1091,16 @@
 }
 
 /// Requests `count` objects, whose fills end as `end` says for their source. Returns the first attempt for each.
-fn fills(rig: &mut Rig, count: u64, end: impl Fn(ServerId) -> (Status, Note, Duration)) -> Vec<Get> {
+fn fills(rig: &mut TestRouter, count: u64, end: impl Fn(ServerId) -> (Status, Note, Duration)) -> Vec<Get> {
     let mut all = Vec::new();
     for object in 0..count {
-        rig.wait(130);
-        let Some(sent) = get(&rig.ask(5000 + object)) else { continue };
+        rig.advance_ms(130);
+        let Some(sent) = sent_attempt(&rig.ask(5000 + object)) else { continue };
         let (status, note, latency) =
             if sent.cached_only { (Status::Miss, Note::SourceLacks, 20 * MS) } else { end(sent.source) };
         let (id, request) = (rig.next, closed_if_ok(status));
-        rig.tell(Event::Outcome(ended(id, 0, (status, note), latency, request)));
-        rig.tell(Event::ClientLeft(id));
+        rig.handle(Event::Outcome(outcome(id, 0, (status, note), latency, request)));
+        rig.handle(Event::ClientLeft(id));
         all.push(sent);
     }
     all
@@ -1067,10 +1110,10 @@
 #[test]
 fn fills_are_withheld_before_an_origin_that_slows_brings_them_all_too_late() {
     // The objective is 250 + 2 * 50 ms. A fill of 250 ms is still in time, but the next ones will take longer.
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let sent = fills(&mut rig, 60, |_| (Status::Ok, Note::FilledByOrigin, 250 * MS));
     assert!(sent[30..].iter().filter(|g| g.cached_only).count() > 5, "some fills are withheld");
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let sent = fills(&mut rig, 60, |_| (Status::Ok, Note::FilledByOrigin, 120 * MS));
     assert!(sent.iter().all(|g| !g.cached_only), "none is withheld while fills are fast");
 }
@@ -1078,7 +1121,7 @@
 /// docs/design/large-fleet.md, invariant 5.
 #[test]
 fn a_parent_that_loses_its_fills_at_once_withholds_none_of_the_others() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let sent = fills(&mut rig, 80, |source| match source {
         50 => (Status::Error, Note::SourceLost, 20 * MS),
         _ => (Status::Ok, Note::Filled, 60 * MS),
@@ -1094,7 +1137,7 @@
         // The objective is long enough that no fill is late and none is withheld.
         let page = Class { latency_objective: 1000 * MS, ..Class::default() };
         let set = Settings { siblings: Siblings::None, classes: vec![page], ..settings() };
-        let mut rig = Rig::new(set, fleet());
+        let mut rig = TestRouter::new(set, all_hosts());
         let end = |source| (Status::Ok, Note::Filled, if source == 50 { slow } else { 60 * MS });
         let sent = fills(&mut rig, 300, end);
         let (mut full, mut fit) = (0, 0);
@@ -1119,9 +1162,9 @@
         parent_slow_start_share: 0.2,
         ..settings()
     };
-    let mut hosts = fleet();
+    let mut hosts = all_hosts();
     hosts.iter_mut().for_each(|h| h.weight = 30.0);
-    let mut rigs = many(routers.max(1) as usize, &set, &hosts);
+    let mut rigs = independent_routers(routers.max(1) as usize, &set, &hosts);
     let cold = Host { started: rigs[0].now, weight: 30.0, ..host(50, 0, 1) };
     rigs.iter_mut().for_each(|r| r.list(Scope::Changes, vec![cold.clone()]));
     // Together they request six times as much as the parent may get, whatever their number.
@@ -1129,7 +1172,7 @@
     let each = 240.0 / routers.max(1) as f64;
     for step in 0..steps {
         for (n, rig) in rigs.iter_mut().enumerate() {
-            rig.wait(20);
+            rig.advance_ms(20);
             let due = ((step + 1) as f64 * each / 5.0) as u64 - (step as f64 * each / 5.0) as u64;
             for _ in 0..due {
                 let object = step * 100_000 + n as u64 * 100 + rig.next % 100;
@@ -1153,12 +1196,12 @@
 }
 
 /// The actions for a request that arrives `ms` milliseconds after caches have reported this load.
-fn asked_after_reports(load: &[f64], ms: u64) -> Vec<Action> {
+fn actions_after_load_reports(load: &[f64], ms: u64) -> Vec<Action> {
     let report = ["util", "x1", "x0"].map(String::from).to_vec();
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, report, ..settings() }, fleet());
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, report, ..settings() }, all_hosts());
     for object in 0..10 {
-        let sent = get(&rig.ask(object)).is_some();
-        rig.wait(60);
+        let sent = sent_attempt(&rig.ask(object)).is_some();
+        rig.advance_ms(60);
         let (id, latency, load) = (rig.next, 60 * MS, load.to_vec());
         if sent {
             let (status, note) = (Status::Ok, Note::Filled);
@@ -1172,10 +1215,10 @@
                 waited: Duration::ZERO,
                 load,
             };
-            rig.tell(Event::Outcome(end));
+            rig.handle(Event::Outcome(end));
         }
     }
-    rig.wait(ms);
+    rig.advance_ms(ms);
     rig.ask(1000)
 }
 
@@ -1183,12 +1226,12 @@
 #[test]
 fn a_link_that_caches_report_as_full_is_believed_at_once_and_not_for_long() {
     // The objective is 250 + 2 * 50 ms: at twenty times its 50 ms a fill is late, though no own transfer was slow.
-    let fills = |actions: &[Action]| get(actions).is_some_and(|g| g.source != g.server);
-    assert!(!fills(&asked_after_reports(&[0.3, 20.0, 0.5], 10)));
-    assert!(fills(&asked_after_reports(&[0.3, 20.0, 0.5], 8000)), "an old report does not count");
+    let fills = |actions: &[Action]| sent_attempt(actions).is_some_and(|g| g.source != g.server);
+    assert!(!fills(&actions_after_load_reports(&[0.3, 20.0, 0.5], 10)));
+    assert!(fills(&actions_after_load_reports(&[0.3, 20.0, 0.5], 8000)), "an old report does not count");
     for load in [&[0.3, 0.4, 0.5][..], &[], &[0.3], &[f64::NAN; 3], &[0.3, -8.0, 0.5], &[0.3, f64::INFINITY]]
     {
-        assert!(fills(&asked_after_reports(load, 10)), "{load:?}");
+        assert!(fills(&actions_after_load_reports(load, 10)), "{load:?}");
     }
 }
 
@@ -1197,28 +1240,28 @@
 fn fills_that_are_out_for_too_long_count_before_they_end() {
     // An overloaded origin may answer nothing for a second. A fill is late after 0.55 of 250 + 2 * 50 ms.
     let later = |ms: u64| {
-        let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+        let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
         (0..12).for_each(|object| drop(rig.ask(object)));
         for _ in 0..ms / 20 {
-            rig.wait(20);
-            rig.tell(Event::Timer(0));
+            rig.advance_ms(20);
+            rig.handle(Event::Timer(0));
         }
-        (100..130).filter(|&object| get(&rig.ask(object)).is_some_and(|g| g.cached_only)).count()
+        (100..130).filter(|&object| sent_attempt(&rig.ask(object)).is_some_and(|g| g.cached_only)).count()
     };
     assert_eq!(later(160), 0, "no fill is late yet");
     assert!(later(300) > 10, "most fills are withheld: {}", later(300));
 }
 
 /// The number of requests sent to the cold cache 1 within its first two seconds by several processes of one router,
-/// which take requests in turn. With `telling`, each notifies the others of the work that it sends to the cache.
-fn sent_to_a_cold_cache(processes: usize, telling: bool) -> usize {
-    let mut hosts = fleet();
+/// which take requests in turn. With `notify_others`, each notifies the others of the work that it sends to the cache.
+fn sent_to_a_cold_cache(processes: usize, notify_others: bool) -> usize {
+    let mut hosts = all_hosts();
     hosts[0].started = START;
-    let mut rigs = vec![Rig::new(settings(), hosts.clone())];
+    let mut rigs = vec![TestRouter::new(settings(), hosts.clone())];
     while rigs.len() < processes {
         let mut next =
-            Rig { router: Router::new(settings(), 77), now: START, next: 1000 * rigs.len() as u64 };
-        next.tell(Event::Members(Members { scope: Scope::Full, hosts: hosts.clone() }));
+            TestRouter { router: Router::new(settings(), 77), now: START, next: 1000 * rigs.len() as u64 };
+        next.handle(Event::Members(Members { scope: Scope::Full, hosts: hosts.clone() }));
         next.router.take_over(rigs[0].router.learned(START, 10), &[Some(0)]);
         rigs.push(next);
     }
@@ -1226,7 +1269,7 @@
     for object in 0..190 {
         let own = object as usize % processes;
         for rig in &mut rigs {
-            rig.wait(10);
+            rig.advance_ms(10);
         }
         let now = rigs[own].now;
         let gets = rigs[own].ask(object);
@@ -1234,10 +1277,10 @@
         if gets.iter().any(|a| matches!(a, Action::Get(_))) {
             rigs[own].answer(0, Status::Ok, Note::Hit);
         }
-        let told = rigs[own].router.sent_after(now, now - Duration::from_micros(1));
-        for (other, rig) in rigs.iter_mut().enumerate().filter(|_| telling) {
+        let sent_work = rigs[own].router.sent_after(now, now - Duration::from_micros(1));
+        for (other, rig) in rigs.iter_mut().enumerate().filter(|_| notify_others) {
             if other != own {
-                rig.router.record_work_sent_elsewhere(now, &told);
+                rig.router.record_work_sent_elsewhere(now, &sent_work);
             }
         }
     }
@@ -1245,7 +1288,7 @@
 }
 
 #[test]
-fn two_processes_of_a_router_use_one_cold_budget() {
+fn two_processes_of_a_router_share_one_slow_start_budget() {
     let alone = sent_to_a_cold_cache(1, true);
     let together = sent_to_a_cold_cache(2, true);
     assert!(alone > 3, "{alone}");
@@ -1256,22 +1299,22 @@
 /// A cold store would be overloaded if each restarted process, or a whole restarted fleet, began with a full budget.
 #[test]
 fn a_router_that_is_killed_and_started_again_has_no_new_cold_budget() {
-    // The number of requests sent to the cold cache 1 within two seconds, with a new process every `lives` ms.
-    let sent = |lives: u64| {
-        let mut hosts = fleet();
-        let mut rig = Rig::new(settings(), hosts.clone());
-        rig.wait(3000);
+    // The number of requests sent to the cold cache 1 within two seconds, with a new process every `process_life_ms`.
+    let sent = |process_life_ms: u64| {
+        let mut hosts = all_hosts();
+        let mut rig = TestRouter::new(settings(), hosts.clone());
+        rig.advance_ms(3000);
         hosts[0].started = rig.now;
         rig.list(Scope::Full, hosts.clone());
         (0..190)
             .filter(|&object| {
-                rig.wait(10);
-                if object > 0 && object * 10 % lives == 0 {
+                rig.advance_ms(10);
+                if object > 0 && object * 10 % process_life_ms == 0 {
                     let (next, now) = (rig.next, rig.now);
-                    rig = Rig { router: Router::new(settings(), object), now, next };
+                    rig = TestRouter { router: Router::new(settings(), object), now, next };
                     rig.list(Scope::Full, hosts.clone());
                 }
-                let sent = get(&rig.ask(object)).is_some_and(|sent| sent.server == 1);
+                let sent = sent_attempt(&rig.ask(object)).is_some_and(|sent| sent.server == 1);
                 rig.answer(0, Status::Ok, Note::Hit);
                 sent
             })
@@ -1280,32 +1323,32 @@
     let alone = sent(10_000);
     assert!(alone > 10, "{alone}");
     // Half a span after its start a process has half of its budget, whatever its predecessor has sent.
-    for lives in [1000, 500, 250] {
+    for process_life_ms in [1000, 500, 250] {
         assert!(
-            sent(lives) <= alone + alone / 4,
-            "{} by processes of {lives} ms each, {alone} by one process",
-            sent(lives)
+            sent(process_life_ms) <= alone + alone / 4,
+            "{} by processes of {process_life_ms} ms each, {alone} by one process",
+            sent(process_life_ms)
         );
     }
 }
 
 #[test]
-fn what_a_router_has_learned_is_taken_over_by_the_next_process() {
-    let mut old = Rig::new(settings(), fleet());
+fn the_observations_of_a_router_are_imported_by_the_next_process() {
+    let mut old = TestRouter::new(settings(), all_hosts());
     for round in 0..30 {
         old.serve(round % 3, if round < 3 { Note::Filled } else { Note::Hit });
-        old.wait(50);
+        old.advance_ms(50);
     }
-    old.tell(Event::Purged { age: Duration::ZERO, group: 9, object: Some(2) });
-    let mut next = Rig { router: Router::new(settings(), 5), now: old.now, next: 500 };
+    old.handle(Event::Purged { age: Duration::ZERO, group: 9, object: Some(2) });
+    let mut next = TestRouter { router: Router::new(settings(), 5), now: old.now, next: 500 };
     // The observations do not apply to a cache that has restarted in the meantime.
-    let mut hosts = fleet();
+    let mut hosts = all_hosts();
     hosts[1].started = old.now;
-    next.tell(Event::Members(Members { scope: Scope::Full, hosts }));
+    next.handle(Event::Members(Members { scope: Scope::Full, hosts }));
     next.router.take_over(old.router.learned(old.now, 100), &[Some(0)]);
-    old.wait(10);
-    next.wait(10);
-    let get = |actions: Vec<Action>| get(&actions).expect("sent");
+    old.advance_ms(10);
+    next.advance_ms(10);
+    let get = |actions: Vec<Action>| sent_attempt(&actions).expect("sent");
     // Both processes use the same hit records and the same purges.
     let (before, after) = (get(old.ask(0)), get(next.ask(0)));
     assert_eq!((before.server, before.source), (after.server, after.source));
@@ -1316,11 +1359,11 @@
 /// Invariant 2 of `docs/design/spread.md`.
 #[test]
 fn a_cache_offloads_its_share_also_of_objects_with_a_recorded_hit_and_takes_it_back() {
-    let mut rig = Rig::new(settings(), fleet());
-    let homes = |rig: &mut Rig| -> Vec<ServerId> {
+    let mut rig = TestRouter::new(settings(), all_hosts());
+    let homes = |rig: &mut TestRouter| -> Vec<ServerId> {
         (0..400)
             .map(|object| {
-                rig.wait(20);
+                rig.advance_ms(20);
                 rig.serve(object, Note::Hit).server
             })
             .collect()
@@ -1329,34 +1372,34 @@
     let of = |homes: &[ServerId], id| homes.iter().filter(|s| **s == id).count();
     let (first, second) = (of(&before, 1), of(&before, 2));
     assert!(first > 150 && second > 150);
-    rig.tell(Event::OffloadShares([(1, 0.5)].into()));
+    rig.handle(Event::OffloadShares([(1, 0.5)].into()));
     let shed = homes(&mut rig);
     let left = of(&shed, 1) as f64 / first as f64;
     assert!((0.4..0.6).contains(&left), "{left}");
     // Objects of the other cache do not move.
     assert!(before.iter().zip(&shed).all(|(old, new)| *old == 1 || *new == 2));
-    rig.tell(Event::OffloadShares(BTreeMap::new()));
-    rig.wait(30_000);
+    rig.handle(Event::OffloadShares(BTreeMap::new()));
+    rig.advance_ms(30_000);
     assert_eq!(homes(&mut rig), before);
     // Without another cache it keeps all objects.
     rig.list(Scope::Changes, vec![Host { state: State::Draining, ..host(2, 1, 0) }]);
-    rig.tell(Event::OffloadShares([(1, 0.6)].into()));
+    rig.handle(Event::OffloadShares([(1, 0.6)].into()));
     assert!(homes(&mut rig).iter().all(|s| *s == 1));
 }
 
 /// Cold caches would be overloaded by suspended gateways that go on using an expired lease.
 #[test]
-fn a_share_that_was_lent_is_used_until_it_lapses_and_the_own_one_from_then_on() {
+fn a_leased_share_is_used_until_the_lease_expires_and_the_own_share_from_then_on() {
     let sent = |shares: Option<Quotas>, wait: u64| {
         let lone = vec![host(1, 1, 0), host(ORIGIN, 0, 2)];
-        let mut rig = Rig::new(Settings { zone_routers: vec![0, 10], shares, ..settings() }, lone);
+        let mut rig = TestRouter::new(Settings { zone_routers: vec![0, 10], shares, ..settings() }, lone);
         // The router has run for longer than a span, so its budget is not reduced.
-        rig.wait(3000);
+        rig.advance_ms(3000);
         let back = Host { started: rig.now, ..host(1, 1, 0) };
         rig.list(Scope::Changes, vec![back]);
-        rig.wait(wait);
+        rig.advance_ms(wait);
         let mut asked = |object| {
-            let sent = get(&rig.ask(object));
+            let sent = sent_attempt(&rig.ask(object));
             rig.answer(0, Status::Ok, Note::Filled);
             sent.is_some_and(|sent| sent.server == 1)
         };
@@ -1374,11 +1417,11 @@
 /// failure sufficient, but does not eject a store by itself.
 #[test]
 fn gossip_of_a_failing_server_ejects_it_by_the_first_own_failure_only() {
-    let mut rig = Rig::new(Settings { siblings: Siblings::None, ..settings() }, fleet());
+    let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
     let object = (0..).find(|&o| rig.serve(o, Note::Hit).server == 1).expect("some");
-    let avoided = |rig: &Rig| rig.router.avoided(rig.now).count();
-    let fails = |rig: &mut Rig| {
-        assert_eq!(get(&rig.ask(object)).expect("sent").server, 1);
+    let avoided = |rig: &TestRouter| rig.router.avoided(rig.now).count();
+    let fails = |rig: &mut TestRouter| {
+        assert_eq!(sent_attempt(&rig.ask(object)).expect("sent").server, 1);
         rig.answer(0, Status::Error, Note::None);
         rig.answer(1, Status::Ok, Note::Filled);
     };
@@ -1388,7 +1431,7 @@
         rig.serve(object, Note::Hit);
     }
     for _ in 0..100 {
-        rig.tell(Event::Suspected(1));
+        rig.handle(Event::Suspected(1));
     }
     assert_eq!(avoided(&rig), 0, "gossip alone");
     fails(&mut rig);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -10,19 +10,19 @@
 const PARENT: ServerId = 50;
 const ORIGIN: ServerId = 90;
 /// The span and the multiple of the overload, and the slow start of servers.
-const FALL_SPAN: Duration = Duration::from_millis(2000);
-const MULTIPLE: f64 = 2.5;
-const COLD_FROM: f64 = 0.1;
-const COLD_SPAN: Duration = Duration::from_millis(20_000);
+const OVERLOAD_SPAN: Duration = Duration::from_millis(2000);
+const OVERLOAD_MULTIPLE: f64 = 2.5;
+const SLOW_START_SHARE: f64 = 0.1;
+const SLOW_START_SPAN: Duration = Duration::from_millis(20_000);
 /// The latency objective, and the mean sending time of a request.
-const AIM: Duration = Duration::from_millis(600);
+const LATENCY_OBJECTIVE: Duration = Duration::from_millis(600);
 const WORK: Duration = Duration::from_millis(400);
 /// When the servers start (twice), after the fleet has been up for long, and the end of the simulation.
 const STARTS: [MonotonicTime; 2] =
     [MonotonicTime::from_micros(100_000_000), MonotonicTime::from_micros(104_000_000)];
 const END: MonotonicTime = MonotonicTime::from_micros(107_000_000);
 /// Time in milliseconds within which all gateways are notified of a start.
-const TOLD_WITHIN_MS: u64 = 400;
+const NOTIFIED_WITHIN_MS: u64 = 400;
 /// Time step of the simulation.
 const ROUND: Duration = Duration::from_millis(20);
 
@@ -76,9 +76,9 @@
 /// of, and its attempts in flight.
 struct Gateway {
     router: Router,
-    told_at: [MonotonicTime; 2],
-    told: usize,
-    out: Vec<Transfer>,
+    notified_at: [MonotonicTime; 2],
+    notified: usize,
+    transfers: Vec<Transfer>,
 }
 
 /// An attempt in flight.
@@ -91,13 +91,13 @@
 }
 
 /// Number of attempts of all gateways in flight, by server.
-type Busy = BTreeMap<ServerId, u64>;
+type InFlight = BTreeMap<ServerId, u64>;
 
 /// The times at which requests were sent to a server after one of its starts, by gateways notified of that start.
-type Sent = Vec<MonotonicTime>;
+type SentTimes = Vec<MonotonicTime>;
 
 /// For the cold cache and the cold parent, the requests sent after each of their starts.
-type AllSent = [[Sent; 2]; 2];
+type AllSentTimes = [[SentTimes; 2]; 2];
 
 /// The microseconds of a span, for shares of spans.
 fn micros(span: Duration) -> f64 {
@@ -107,7 +107,7 @@
 impl Fleet {
     /// Number of transfers that a server must carry when warm to be allowed [`Fleet::allowed`] right after its start.
     fn flows(&self) -> f64 {
-        self.allowed * micros(WORK) / (MULTIPLE * COLD_FROM * micros(FALL_SPAN))
+        self.allowed * micros(WORK) / (OVERLOAD_MULTIPLE * SLOW_START_SHARE * micros(OVERLOAD_SPAN))
     }
 
     /// The sending time of a request.
@@ -123,15 +123,16 @@
     }
 
     /// Duration of a transfer that begins now: longer at a warm server that has more transfers than it carries.
-    fn takes(&self, id: RequestId, server: ServerId, busy: &Busy) -> Duration {
-        let transfers = busy.get(&server).map_or(1.0, |transfers| *transfers as f64);
+    fn transfer_duration(&self, id: RequestId, server: ServerId, in_flight: &InFlight) -> Duration {
+        let transfers = in_flight.get(&server).map_or(1.0, |transfers| *transfers as f64);
         let slows = self.sizes == Sizes::Spread && server != CACHE;
         let stretch = if slows { (transfers / self.flows()).max(1.0) } else { 1.0 };
         Duration::from_micros((micros(self.work(id)) * stretch) as u64)
     }
 
     fn settings(&self) -> Settings {
-        let class = Class { latency_objective: AIM, objective_stretch: 1.6, ..Class::default() };
+        let class =
+            Class { latency_objective: LATENCY_OBJECTIVE, objective_stretch: 1.6, ..Class::default() };
         Settings {
             routers: self.gateways,
             zone: 1,
@@ -143,13 +144,13 @@
             weighted: true,
             cancel: true,
             max_attempts: 4,
-            overload_multiple: MULTIPLE,
-            overload_span: FALL_SPAN,
-            slow_start_share: COLD_FROM,
-            slow_start_span: COLD_SPAN,
-            parent_overload_multiple: MULTIPLE,
-            parent_slow_start_share: COLD_FROM,
-            parent_slow_start_span: COLD_SPAN,
+            overload_multiple: OVERLOAD_MULTIPLE,
+            overload_span: OVERLOAD_SPAN,
+            slow_start_share: SLOW_START_SHARE,
+            slow_start_span: SLOW_START_SPAN,
+            parent_overload_multiple: OVERLOAD_MULTIPLE,
+            parent_slow_start_share: SLOW_START_SHARE,
+            parent_slow_start_span: SLOW_START_SPAN,
             ..Settings::default()
         }
     }
@@ -172,43 +173,50 @@
         hosts
     }
 
-    /// Starts a gateway that knows of the first `told` starts of the servers.
-    fn gateway(&self, number: u64, now: MonotonicTime, told: usize, told_at: [MonotonicTime; 2]) -> Gateway {
+    /// Starts a gateway that knows of the first `notified` starts of the servers.
+    fn gateway(
+        &self,
+        number: u64,
+        now: MonotonicTime,
+        notified: usize,
+        notified_at: [MonotonicTime; 2],
+    ) -> Gateway {
         let mut router = Router::new(self.settings(), mix(number));
-        let hosts = self.hosts(if told > 0 { STARTS[told - 1] } else { Host::STARTED_LONG_AGO });
+        let hosts = self.hosts(if notified > 0 { STARTS[notified - 1] } else { Host::STARTED_LONG_AGO });
         router.handle(now, Event::Members(Members { scope: Scope::Full, hosts }), &mut Vec::new());
-        Gateway { router, told_at, told, out: Vec::new() }
+        Gateway { router, notified_at, notified, transfers: Vec::new() }
     }
 
     /// Runs the simulation; returns the requests that notified gateways sent to the cold servers.
-    fn play(&self, seed: u64) -> AllSent {
+    fn simulate(&self, seed: u64) -> AllSentTimes {
         let mut draws = Draws(seed);
         let mut fleet: Vec<Gateway> = (0..self.gateways)
             .map(|n| {
-                let told_at = STARTS.map(|start| start + Duration::from_millis(draws.below(TOLD_WITHIN_MS)));
-                self.gateway(seed * 1000 + n, STARTS[0] - 60_000 * MS, 0, told_at)
+                let notified_at =
+                    STARTS.map(|start| start + Duration::from_millis(draws.below(NOTIFIED_WITHIN_MS)));
+                self.gateway(seed * 1000 + n, STARTS[0] - 60_000 * MS, 0, notified_at)
             })
             .collect();
-        let (mut sent, mut busy) = (AllSent::default(), Busy::new());
-        let (mut id, mut round, mut owed) = (0, 0, 0.0);
+        let (mut sent, mut in_flight) = (AllSentTimes::default(), InFlight::new());
+        let (mut id, mut round, mut pending) = (0, 0, 0.0);
         // A mean load of four times what a warm server can do, and regular bursts.
-        let rate = 4.0 * self.allowed / COLD_FROM * micros(ROUND) / micros(FALL_SPAN);
+        let rate = 4.0 * self.allowed / SLOW_START_SHARE * micros(ROUND) / micros(OVERLOAD_SPAN);
         let mut now = STARTS[0] - 1000 * MS;
         while now < END {
             if let Some(start) = STARTS.iter().position(|start| *start == now) {
-                self.restart_some(&mut fleet, start, seed, &mut draws, &mut busy);
+                self.restart_some(&mut fleet, start, seed, &mut draws, &mut in_flight);
             }
             for gateway in &mut fleet {
-                self.tell(gateway, now);
-                self.end(gateway, now, &mut draws, &mut sent, &mut busy);
+                self.notify(gateway, now);
+                self.end(gateway, now, &mut draws, &mut sent, &mut in_flight);
             }
-            owed += rate + if round % 60 == 59 { self.allowed * 4.0 } else { 0.0 };
-            for _ in 0..owed as u64 {
+            pending += rate + if round % 60 == 59 { self.allowed * 4.0 } else { 0.0 };
+            for _ in 0..pending as u64 {
                 let at = draws.below(self.gateways) as usize;
                 id += 1;
-                self.ask(&mut fleet[at], now, id, &mut sent, &mut busy);
+                self.ask(&mut fleet[at], now, id, &mut sent, &mut in_flight);
             }
-            owed -= owed.floor();
+            pending -= pending.floor();
             round += 1;
             now += ROUND;
         }
@@ -222,24 +230,24 @@
         start: usize,
         seed: u64,
         draws: &mut Draws,
-        busy: &mut Busy,
+        in_flight: &mut InFlight,
     ) {
         for (n, gateway) in fleet.iter_mut().enumerate() {
             if draws.below(100) < self.restarted {
-                for transfer in &gateway.out {
-                    busy.entry(transfer.server).and_modify(|transfers| *transfers -= 1);
+                for transfer in &gateway.transfers {
+                    in_flight.entry(transfer.server).and_modify(|transfers| *transfers -= 1);
                 }
                 let number = (seed * 1000 + n as u64) ^ (start as u64 + 1) << 40;
-                *gateway = self.gateway(number, STARTS[start], start + 1, gateway.told_at);
+                *gateway = self.gateway(number, STARTS[start], start + 1, gateway.notified_at);
             }
         }
     }
 
     /// Notifies a gateway of the next start once that is due.
-    fn tell(&self, gateway: &mut Gateway, now: MonotonicTime) {
-        if gateway.told < STARTS.len() && now >= gateway.told_at[gateway.told] {
-            let list = Members { scope: Scope::Changes, hosts: self.hosts(STARTS[gateway.told]) };
-            gateway.told += 1;
+    fn notify(&self, gateway: &mut Gateway, now: MonotonicTime) {
+        if gateway.notified < STARTS.len() && now >= gateway.notified_at[gateway.notified] {
+            let list = Members { scope: Scope::Changes, hosts: self.hosts(STARTS[gateway.notified]) };
+            gateway.notified += 1;
             gateway.router.handle(now, Event::Members(list), &mut Vec::new());
         }
     }
@@ -250,15 +258,15 @@
         gateway: &mut Gateway,
         now: MonotonicTime,
         id: RequestId,
-        sent: &mut AllSent,
-        busy: &mut Busy,
+        sent: &mut AllSentTimes,
+        in_flight: &mut InFlight,
     ) {
         let size_kb = if self.sizes == Sizes::Stated { micros(WORK) / micros(MS) } else { 0.0 };
         // Each object is requested once, so each request is a fill.
         let request = Request { id, object: mix(id), ttl: 60_000 * MS, size_kb, ..Request::default() };
         let mut actions = Vec::new();
         gateway.router.handle(now, Event::Request(request), &mut actions);
-        self.carry_out(gateway, now, 0, &actions, sent, busy);
+        self.carry_out(gateway, now, 0, &actions, sent, in_flight);
     }
 
     /// Ends the attempts that are complete; one in ten fails and is retried.
@@ -267,16 +275,16 @@
         gateway: &mut Gateway,
         now: MonotonicTime,
         draws: &mut Draws,
-        sent: &mut AllSent,
-        busy: &mut Busy,
+        sent: &mut AllSentTimes,
+        in_flight: &mut InFlight,
     ) {
-        if gateway.out.iter().all(|transfer| transfer.ends > now) {
+        if gateway.transfers.iter().all(|transfer| transfer.ends > now) {
             return;
         }
-        let (due, out) = std::mem::take(&mut gateway.out).into_iter().partition(|out| out.ends <= now);
-        gateway.out = out;
+        let (due, out) = std::mem::take(&mut gateway.transfers).into_iter().partition(|out| out.ends <= now);
+        gateway.transfers = out;
         for Transfer { id, attempt, server, took, .. } in due {
-            busy.entry(server).and_modify(|transfers| *transfers -= 1);
+            in_flight.entry(server).and_modify(|transfers| *transfers -= 1);
             let fails = draws.below(10) == 0;
             let is_hit = self.sizes == Sizes::Spread && server != CACHE && draws.below(10) < HITS_IN_TEN;
             let (status, note) = match (fails, is_hit) {
@@ -290,7 +298,7 @@
             let end = Outcome { id, attempt, status, latency, request, note, load, waited: Duration::ZERO };
             let mut actions = Vec::new();
             gateway.router.handle(now, Event::Outcome(end), &mut actions);
-            self.carry_out(gateway, now, attempt + 1, &actions, sent, busy);
+            self.carry_out(gateway, now, attempt + 1, &actions, sent, in_flight);
         }
     }
 
@@ -301,17 +309,17 @@
         now: MonotonicTime,
         attempt: u64,
         actions: &[Action],
-        sent: &mut AllSent,
-        busy: &mut Busy,
+        sent: &mut AllSentTimes,
+        in_flight: &mut InFlight,
     ) {
         for action in actions {
             let Action::Get(get) = action else { continue };
-            let took = self.takes(get.id, get.server, busy);
-            *busy.entry(get.server).or_default() += 1;
+            let took = self.transfer_duration(get.id, get.server, in_flight);
+            *in_flight.entry(get.server).or_default() += 1;
             let (id, server) = (get.id, get.server);
-            gateway.out.push(Transfer { ends: now + took, id, attempt, server, took });
+            gateway.transfers.push(Transfer { ends: now + took, id, attempt, server, took });
             let begun = STARTS.iter().filter(|start| now >= **start).count();
-            if begun == 0 || gateway.told < begun {
+            if begun == 0 || gateway.notified < begun {
                 continue;
             }
             for (at, reached) in [get.server == CACHE, get.source == PARENT].into_iter().enumerate() {
@@ -322,16 +330,17 @@
 
     /// Maximum number of requests of mean work allowed in a span that ends `since` after a server's start, with a
     /// margin for statistical deviations.
-    fn most(&self, since: Duration) -> f64 {
-        let warmth = (COLD_FROM + (1.0 - COLD_FROM) * micros(since) / micros(COLD_SPAN)).min(1.0);
-        let allowed = self.allowed * warmth / COLD_FROM;
+    fn max_requests(&self, since: Duration) -> f64 {
+        let warmth =
+            (SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * micros(since) / micros(SLOW_START_SPAN)).min(1.0);
+        let allowed = self.allowed * warmth / SLOW_START_SHARE;
         let (times, plus) = if allowed < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
         allowed + times * allowed.sqrt() + plus
     }
 
     /// Runs the simulation and checks that no server gets more than its budget in any span.
     fn check_budgets(&self) {
-        for (server, lives) in self.play(self.gateways + self.allowed as u64).iter().enumerate() {
+        for (server, lives) in self.simulate(self.gateways + self.allowed as u64).iter().enumerate() {
             for (start, sent) in STARTS.iter().zip(lives) {
                 let used = self.used(*start, sent);
                 assert!(used <= 1.0, "{self:?}: {used} of the budget of {server} from {start:?}");
@@ -340,13 +349,13 @@
     }
 
     /// The largest share of the budget that is used in any span.
-    fn used(&self, start: MonotonicTime, sent: &Sent) -> f64 {
+    fn used(&self, start: MonotonicTime, sent: &SentTimes) -> f64 {
         let mut first = 0;
         let used = sent.iter().enumerate().map(|(last, at)| {
-            while sent[first] + FALL_SPAN < *at {
+            while sent[first] + OVERLOAD_SPAN < *at {
                 first += 1;
             }
-            (last + 1 - first) as f64 / self.most(*at - start)
+            (last + 1 - first) as f64 / self.max_requests(*at - start)
         });
         used.fold(0.0, f64::max)
     }
@@ -401,12 +410,12 @@
 fn a_server_that_leaves_the_list_and_returns_has_no_new_budget() {
     let fleet = Fleet { gateways: 1, allowed: 30.0, sizes: Sizes::Stated, restarted: 0, alone: true };
     for scope in [Scope::Changes, Scope::Full] {
-        let (mut sent, mut busy) = (AllSent::default(), Busy::new());
+        let (mut sent, mut in_flight) = (AllSentTimes::default(), InFlight::new());
         let mut gateway = fleet.gateway(7, STARTS[0] - 60_000 * MS, 1, STARTS);
         let mut now = STARTS[0];
         for id in 0..2_000 {
             now += MS;
-            fleet.ask(&mut gateway, now, id, &mut sent, &mut busy);
+            fleet.ask(&mut gateway, now, id, &mut sent, &mut in_flight);
             if id % 100 == 99 {
                 let all = fleet.hosts(STARTS[0]);
                 let gone = |host: Host| match (host.server == CACHE, scope) {
@@ -432,7 +441,7 @@
     for gateways in [1, 10, 100, 900] {
         for sizes in [Sizes::Stated, Sizes::Equal] {
             let fleet = Fleet { gateways, allowed: 80.0, sizes, restarted: 0, alone: false };
-            let [_, parent] = fleet.play(gateways);
+            let [_, parent] = fleet.simulate(gateways);
             let sent: usize = parent.iter().map(Vec::len).sum();
             assert!(sent as f64 >= fleet.allowed / 10.0, "{fleet:?}: {sent} requests");
         }
@@ -454,9 +463,9 @@
     let mut gateway = fleet.gateway(7, STARTS[0] - 60_000 * MS, 1, STARTS);
     for id in 1..=30 {
         let now = STARTS[0] + 20 * id as u32 * MS;
-        let (mut sent, mut busy) = (AllSent::default(), Busy::new());
-        fleet.ask(&mut gateway, now, id, &mut sent, &mut busy);
-        let [transfer] = &gateway.out[..] else { panic!("request {id} is not sent") };
+        let (mut sent, mut in_flight) = (AllSentTimes::default(), InFlight::new());
+        fleet.ask(&mut gateway, now, id, &mut sent, &mut in_flight);
+        let [transfer] = &gateway.transfers[..] else { panic!("request {id} is not sent") };
         assert_eq!(transfer.server, CACHE);
         let answer = Outcome {
             id,
@@ -469,6 +478,6 @@
             waited: Duration::ZERO,
         };
         gateway.router.handle(now + 5 * MS, Event::Outcome(answer), &mut Vec::new());
-        gateway.out.clear();
+        gateway.transfers.clear();
     }
 }
