--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -13,53 +13,53 @@
     #[error("{0} is missing")]
     Missing(&'static str),
     /// The text of a field cannot be parsed as its type.
-    #[error("{key} cannot be {value:?}")]
+    #[error("invalid value {value:?} of {key}")]
     InvalidText {
-        /// The field.
+        /// Name of the field.
         key: &'static str,
-        /// Its text.
+        /// Text of the field.
         value: String,
     },
     /// The number of a field is out of range.
-    #[error("{key} cannot be {value}")]
+    #[error("{key} out of range: {value}")]
     InvalidNumber {
-        /// The field.
+        /// Name of the field.
         key: &'static str,
-        /// Its number.
+        /// Number in the field.
         value: f64,
     },
     /// The outcome code of an attempt is unknown.
-    #[error("outcome cannot be {0}")]
+    #[error("unknown outcome {0}")]
     UnknownOutcome(u64),
     /// The settings of a new instance cannot be parsed.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// A row arrived without a list.
-    #[error("a row belongs to a list")]
+    #[error("row without a list")]
     RowWithoutList,
     /// Another line arrived before all rows of a list.
-    #[error("rows of a list are missing")]
+    #[error("unexpected message before the last row of a list")]
     RowsMissing,
     /// A batch has an earlier time than the one before.
-    #[error("the clock went back")]
+    #[error("batch time is earlier than that of the previous batch")]
     ClockWentBack,
     /// The name of an instance is empty.
-    #[error("who is empty")]
+    #[error("instance name is empty")]
     EmptyInstance,
     /// The message name is unknown.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
     /// A batch begins before the last one has ended.
-    #[error("a batch is open")]
+    #[error("batch begins within another batch")]
     BatchOpen,
     /// A line is outside of a batch.
-    #[error("no batch is open")]
+    #[error("line outside of a batch")]
     NoBatchOpen,
     /// No instance was selected in this batch.
-    #[error("no instance is selected")]
+    #[error("no instance selected")]
     NoInstanceSelected,
     /// No instance with this name exists.
-    #[error("{0} was never created")]
+    #[error("unknown instance {0}")]
     UnknownInstance(String),
 }
 
@@ -80,10 +80,10 @@
     Malformed {
         /// The error.
         error: LineError,
-        /// The line.
+        /// The text of the line.
         line: String,
     },
     /// The output cannot be written.
-    #[error("cannot write: {0}")]
+    #[error("cannot write output: {0}")]
     Write(#[source] io::Error),
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -125,15 +125,15 @@
     pub routers: u64,
     /// This router's index among them, which survives restarts; none if the settings do not state it.
     pub router_index: Option<u64>,
-    /// Zone of this router.
+    /// Zone (location) of this router.
     pub zone: usize,
     /// By zone, the number of routers that serve it.
     pub zone_routers: Vec<u64>,
     /// This router's quotas; none: capacity is divided evenly among the configured numbers of routers.
     pub shares: Option<Quotas>,
-    /// Request classes.
+    /// Classes of requests; a request refers to its class by index.
     pub classes: Vec<Class>,
-    /// Whether the caller must be told by [`Action::Watch`] to poll for changes of the endpoint list.
+    /// Whether the caller polls for changes of the endpoint list only after [`Action::Watch`].
     pub poll_endpoints: bool,
     /// [`Host::kind`] of parents, if there are any.
     pub parent_kind: Option<usize>,
@@ -250,7 +250,7 @@
 
     /// The number by which shared capacity is divided to get this router's quota: of the capacity used by the
     /// routers of a zone, or by all routers without one. Checks the lease at each call: a router that was
-    /// suspended must not use a quota whose lease has expired meanwhile.
+    /// suspended must not use a quota whose lease has expired in the meantime.
     pub fn quota_divisor(&self, now: MonotonicTime, zone: Option<usize>) -> f64 {
         let shares = self.shares.map(|shares| shares.now(now));
         match (shares, zone) {
@@ -326,7 +326,7 @@
 /// State of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum State {
-    /// Takes requests.
+    /// In service; gets new requests.
     #[default]
     Up,
     /// Finishes its requests in flight and gets no new ones.
@@ -338,15 +338,15 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Host {
-    /// The server.
+    /// The server that the entry describes.
     pub server: ServerId,
-    /// Its zone.
+    /// Its zone (location).
     pub zone: usize,
     /// Its kind: cache, parent or origin, by the numbers in [`Settings`].
     pub kind: usize,
     /// Its cell, which may bound an idempotency key (see [`Group::Cell`]).
     pub cell: u64,
-    /// Its state.
+    /// Its state: up, draining or removed.
     pub state: State,
     /// Its capacity in transfers at full pace, if [`Settings::weighted`].
     pub weight: f64,
@@ -358,7 +358,7 @@
     /// Start time of a server whose start is unknown, or too long ago to matter for slow start.
     pub const STARTED_LONG_AGO: MonotonicTime = MonotonicTime::MIN;
 
-    /// When it last started, if that is known.
+    /// When the server last started; none if unknown.
     pub fn known_start(&self) -> Option<MonotonicTime> {
         (self.started != Host::STARTED_LONG_AGO).then_some(self.started)
     }
@@ -447,11 +447,11 @@
     SourceLacks,
     /// The server had no free slot for a fill.
     NoFillSlot,
-    /// The origin failed behind the parent.
+    /// The origin failed while the parent was filling from it.
     OriginFailed,
 }
 
-/// Whether a request is still to be answered.
+/// Whether a request still needs a final answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
     /// It has no final answer yet.
@@ -463,7 +463,7 @@
 /// The outcome of an attempt.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// The request.
+    /// The request of the attempt.
     pub id: RequestId,
     /// Index of the attempt within its request, from 0.
     pub attempt: u64,
@@ -471,7 +471,7 @@
     pub status: Status,
     /// Time from sending the attempt to its end.
     pub latency: Duration,
-    /// Whether the request is still to be answered.
+    /// Whether the request still needs a final answer.
     pub request: RequestState,
     /// How the answer was produced.
     pub note: Note,
@@ -524,7 +524,7 @@
 /// A more precise start time of a listed server's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DatedStart {
-    /// The server.
+    /// The server whose start is stated.
     pub server: ServerId,
     /// When the process started.
     pub started: MonotonicTime,
@@ -533,7 +533,7 @@
 /// A server and its weight in rendezvous hashing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerWeight {
-    /// The server.
+    /// The weighted server.
     pub server: ServerId,
     /// The server's share of the objects is proportional to its weight.
     pub weight: f64,
@@ -554,7 +554,7 @@
 /// An attempt to be made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Get {
-    /// The request.
+    /// The request to send.
     pub id: RequestId,
     /// The server that receives the attempt: a cache, or directly a parent or the origin.
     pub server: ServerId,
@@ -581,7 +581,7 @@
     Get(Get),
     /// Final answer: the request is rejected and may safely be retried.
     Refuse {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
         /// Retry-After for the client; zero: none.
         retry_after: Duration,
@@ -590,12 +590,12 @@
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
         /// Index of the attempt within its request, from 0.
         attempt: u64,
     },
-    /// Deliver an [`Event::Timer`].
+    /// Deliver an [`Event::Timer`] at a given time.
     Timer {
         /// When the timer expires.
         at: MonotonicTime,
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -20,7 +20,7 @@
 const KNOWN_MIN_WORK_SHARE: f64 = 0.8;
 /// Like [`KNOWN_MIN_WORK_SHARE`], for an object not observed before.
 const UNKNOWN_MIN_WORK_SHARE: f64 = 0.2;
-/// Fills requested over those completed in time above which fills are withheld.
+/// Ratio of requested fills to fills completed in time above which some fills are withheld.
 const OVERLOAD_RATIO: f64 = 1.2;
 /// Maximum share of the fills that is withheld.
 const WITHHELD_LIMIT: f64 = 0.97;
--- a/src/logic/learned.rs
+++ b/src/logic/learned.rs
@@ -92,10 +92,10 @@
     }
 }
 
-/// Work that was sent to a server.
+/// Work sent to a server by one process of a router.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SentWork {
-    /// The server.
+    /// The server that the work was sent to.
     pub server: ServerId,
     /// Sending time of the work, in microseconds.
     pub work_micros: f64,
--- a/src/logic/retry.rs
+++ b/src/logic/retry.rs
@@ -25,7 +25,7 @@
 /// Number of hedged requests that may be in flight in addition to that share.
 const HEDGED_MINIMUM: f64 = 2.0;
 
-/// The highest rank at which a copy is cached.
+/// Upper bound of [`Get::rank`], the cache priority of a copy.
 const HIGHEST_RANK: u32 = 3;
 
 /// The result of checking an attempt.
--- a/src/logic/ring.rs
+++ b/src/logic/ring.rs
@@ -24,7 +24,7 @@
 }
 
 impl Ring {
-    /// Adds a server, or changes its weight.
+    /// Adds a server or changes its weight.
     pub fn set(&mut self, server: ServerId, weight: f64) {
         let candidate = Candidate { server, seed: rendezvous_seed(server), weight };
         match self.find(server) {
--- a/src/logic/server.rs
+++ b/src/logic/server.rs
@@ -15,7 +15,7 @@
     serde(from = "(f64, MonotonicTime)", into = "(f64, MonotonicTime)")
 )]
 pub(super) struct Pace {
-    /// The ratio, smoothed.
+    /// Moving average of the ratio; 1 is full pace.
     pub value: f64,
     /// When it was observed.
     pub observed_at: MonotonicTime,
@@ -63,7 +63,7 @@
     pub backoff: Duration,
     /// When the next trial may be sent to it.
     pub retry_at: MonotonicTime,
-    /// When an attempt at it last ended with a response.
+    /// When an attempt at the server last ended with a response.
     pub last_response: MonotonicTime,
     /// When it last delivered a fill.
     pub last_fill: MonotonicTime,
--- a/src/logic/subset.rs
+++ b/src/logic/subset.rs
@@ -1,5 +1,5 @@
-//! Deterministic subsetting: of the caches of a large location, each router sends its requests to a subset
-//! of bounded size, so that its connections do not grow with the caches listed.
+//! Deterministic subsetting: in a large location, each router sends its requests to a subset of the caches of
+//! bounded size, so that its number of connections does not grow with the number of listed caches.
 use super::ring::Ring;
 use crate::hashing::{mix, rendezvous_seed};
 use crate::interface::ServerId;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -16,8 +16,8 @@
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
-            SettingsError::NotJson => "info is not JSON",
-            SettingsError::NotObject => "info is not an object",
+            SettingsError::NotJson => "settings are not JSON",
+            SettingsError::NotObject => "settings are not a JSON object",
         })
     }
 }
@@ -102,6 +102,7 @@
     Duration::from_micros(micros(ms))
 }
 
+/// Reads the class with this index; some of its values are in `info`, by index.
 fn read_class(value: &Value, index_of_class: usize, info: &Value, limits: &Value) -> Class {
     let by_class = |key: &str| {
         list(info, key).get(index_of_class).and_then(as_f64).map_or(Duration::ZERO, span_of_millis)
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -116,7 +116,8 @@
     }
 }
 
-/// How well records of hits indicate what a cache has, as fractions from 0 to 1 (the paper's FP, FN, q).
+/// Reliability of hit records as indications of a cache's content (the paper's FP, FN and q), as fractions
+/// from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct IndicationRates {
     /// FP: the fraction of positive records among objects that the cache does not have.
@@ -137,7 +138,7 @@
 }
 
 impl Indication {
-    /// Positive if there is a record of a hit.
+    /// Positive if a hit is recorded.
     pub fn from_record(recorded: bool) -> Self {
         if recorded {
             Indication::Positive
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -161,13 +161,13 @@
     assert!(first.source < 10);
     let mut actions = rig.answer(0, Status::Miss, Note::SourceLacks);
     for attempt in 1..4 {
-        let next = sent_attempt(&actions).expect("goes on");
+        let next = sent_attempt(&actions).expect("retried");
         if next.source >= 50 {
             return;
         }
         actions = rig.answer(attempt, Status::Miss, Note::SourceLacks);
     }
-    panic!("never came to a parent");
+    panic!("not retried at a parent");
 }
 
 #[test]
@@ -245,7 +245,7 @@
     back.started = rig.now;
     rig.list(Scope::Changes, vec![back]);
     let fills = (0..400).filter(|&o| rig.serve(o, Note::Filled).source == 50).count();
-    assert!(fills < 40, "{fills} fills at once");
+    assert!(fills < 40, "{fills} fills at once by the cold parent");
 }
 
 #[test]
@@ -378,7 +378,10 @@
 fn an_unsafe_request_that_may_have_run_is_not_repeated() {
     let mut rig = with_effect(Effect::Unsafe, Group::All);
     assert_eq!(sent_attempt(&rig.ask(1)).expect("sent").source, ORIGIN);
-    assert!(sent_attempt(&rig.answer(0, Status::ConnectFailed, Note::None)).is_some(), "it never ran");
+    assert!(
+        sent_attempt(&rig.answer(0, Status::ConnectFailed, Note::None)).is_some(),
+        "retried, since it was not executed"
+    );
     let actions = rig.answer(1, Status::Reset, Note::None);
     assert!(sent_attempt(&actions).is_none() && !is_rejected(&actions) && final_answer_count(&actions) == 1);
 }
@@ -508,7 +511,7 @@
             rig.answer(0, Status::Ok, Note::Filled);
         }
     }
-    assert!(asked < 12, "{asked} of 200");
+    assert!(asked < 12, "{asked} of 200 requests sent to the failing cache");
 }
 
 #[test]
@@ -709,7 +712,7 @@
         rig.advance_ms(2000);
         let (ttl, size_kb) = (3000 * MS, 300.0);
         let req = Request { id, object: id, ttl, size_kb, ..Request::default() };
-        assert!(sent_attempt(&rig.handle(Event::Request(req))).is_some(), "request {id} was declined");
+        assert!(sent_attempt(&rig.handle(Event::Request(req))).is_some(), "request {id} was rejected");
         let (status, latency, note) = (Status::Ok, 320 * MS, Note::Filled);
         rig.handle(Event::Outcome(outcome(id, 0, (status, note), latency, RequestState::Closed)));
     }
@@ -731,7 +734,7 @@
             rig.answer(0, Status::Ok, Note::Filled);
         }
     }
-    assert!(asked > 60, "{asked} of 200 to cache 1");
+    assert!(asked > 60, "{asked} of 200 requests sent to cache 1");
     assert!(again > 20, "{again} of 40 retries went to the same cache, which has the object by then");
 }
 
@@ -1053,7 +1056,7 @@
         _ => None,
     });
     assert!(
-        (Duration::from_micros(1)..=250 * MS / 4).contains(&retry_after.expect("refused")),
+        (Duration::from_micros(1)..=250 * MS / 4).contains(&retry_after.expect("rejected")),
         "{retry_after:?}"
     );
 }
