--- a/src/logic/subset.rs
+++ b/src/logic/subset.rs
@@ -1,5 +1,5 @@
-//! Deterministic subsetting: of the caches of a large location, each router sends its requests to a subset
-//! of bounded size, so that its connections do not grow with the caches listed.
+//! Deterministic subsetting: in a large location, each router sends its requests to a subset of the caches of
+//! bounded size, so that its number of connections does not grow with the number of listed caches.
 use super::ring::Ring;
 use crate::hashing::{mix, rendezvous_seed};
 use crate::interface::ServerId;
@@ -83,8 +83,8 @@
     }
 
     /// Number of ranks computed since the start.
-    pub fn drawn(&self) -> u64 {
-        self.members.drawn()
+    pub fn ranks_computed(&self) -> u64 {
+        self.members.ranks_computed()
     }
 
     fn add_member(&mut self, rank: Rank, weight: f64) {
