--- a/crates/cluster/src/store_health/tests.rs
+++ b/crates/cluster/src/store_health/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_report_is_new_once_and_goes_so_many_hops() {
+fn a_report_is_new_once_within_its_lifetime_and_forwarded_up_to_the_hop_limit() {
     let mut gossip = HealthGossip::default();
     gossip.observe(at(0), 3, 77, StoreHealth::Failing);
     gossip.observe(at(10), 3, 77, StoreHealth::Failing);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn reports_are_bounded_and_malformed_ones_are_none() {
+fn reports_are_bounded_and_malformed_ones_are_rejected() {
     let mut gossip = HealthGossip::default();
     let report = |store| HealthReport { store, health: StoreHealth::Recovered, hops: 0, origin: 1 };
     gossip.receive(at(5), (0..5000).map(report).collect());
--- a/crates/cluster/src/wire/tests.rs
+++ b/crates/cluster/src/wire/tests.rs
@@ -24,13 +24,21 @@
 }
 
 #[test]
-fn gossip_is_decoded_as_it_was_encoded_and_never_exceeds_its_room() {
-    let heartbeat = |n: u16| Heartbeat { incarnation: n | 1, beat: n & BEAT_MASK, left: n.is_multiple_of(3) };
-    let state = |n: u16| match n.is_multiple_of(2) {
-        true => ClaimedState::SuspectedFor(n as u8),
+fn gossip_is_decoded_as_it_was_encoded_and_never_exceeds_its_capacity() {
+    let heartbeat = |number: u16| Heartbeat {
+        incarnation: number | 1,
+        beat: number & BEAT_MASK,
+        left: number.is_multiple_of(3),
+    };
+    let state = |number: u16| match number.is_multiple_of(2) {
+        true => ClaimedState::SuspectedFor(number as u8),
         false => ClaimedState::Unsuspected,
     };
-    let claim = |n: u16| MemberClaim { member: n * 700, heartbeat: heartbeat(n), state: state(n) };
+    let claim = |number: u16| MemberClaim {
+        member: number * 700,
+        heartbeat: heartbeat(number),
+        state: state(number),
+    };
     let gossip = Gossip {
         own: heartbeat(40_000),
         paused: true,
@@ -43,7 +51,9 @@
     assert!(bytes.len() <= MAX_BODY_BYTES);
     let decoded = Gossip::decode(&bytes).expect("decodes");
     assert_eq!(decoded, Gossip { window: gossip.window[..Gossip::window_capacity(9)].to_vec(), ..gossip });
-    assert!((0..GOSSIP_HEADER_BYTES + 9 * CLAIM_BYTES).all(|n| Gossip::decode(&bytes[..n]).is_none()));
+    assert!(
+        (0..GOSSIP_HEADER_BYTES + 9 * CLAIM_BYTES).all(|number| Gossip::decode(&bytes[..number]).is_none())
+    );
 }
 
 #[test]
--- a/crates/cluster/tests/histories.rs
+++ b/crates/cluster/tests/histories.rs
@@ -27,14 +27,14 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let one = (0u16..14, 0u16..4, 0u16..0x3fff, any::<bool>(), proptest::option::of(any::<u8>()));
+    let claim = (0u16..14, 0u16..4, 0u16..0x3fff, any::<bool>(), proptest::option::of(any::<u8>()));
     let step = prop_oneof![
         6 => (1u64..400).prop_map(Step::Wait),
         1 => (700u64..30_000).prop_map(Step::Wait),
-        6 => (0u16..14, proptest::collection::vec(one, 0..20), any::<bool>(), any::<bool>())
-            .prop_map(|(by, all, paused, ping)| Step::Gossip(by, all, paused, ping)),
+        6 => (0u16..14, proptest::collection::vec(claim, 0..20), any::<bool>(), any::<bool>())
+            .prop_map(|(sender, claims, paused, ping)| Step::Gossip(sender, claims, paused, ping)),
         2 => (0u16..14, 0u8..6, proptest::collection::vec(any::<u8>(), 0..300))
-            .prop_map(|(by, kind, bytes)| Step::Bytes(by, kind, bytes)),
+            .prop_map(|(sender, kind, bytes)| Step::Bytes(sender, kind, bytes)),
         1 => Just(Step::Leave),
         1 => (1usize..14).prop_map(Step::Resized),
     ];
@@ -56,103 +56,126 @@
     /// M5, M9: no bytes of others make a gateway send more than it may, name members that do not exist, suspect itself,
     /// or change the state of one incarnation twice within 10 s, but for one that reports its own pause.
     #[test]
-    fn a_gateway_keeps_to_its_bounds_whatever_others_report(steps in steps()) {
+    fn messages_of_others_never_make_a_gateway_exceed_its_bounds(steps in steps()) {
         let mut now = START;
         let mut detector = FailureDetector::new(now, FleetFile::default(), 3, 12, 7);
-        let mut number = 12;
-        let mut changed: BTreeMap<u16, (MonotonicTime, u16)> = BTreeMap::new();
+        let mut members = 12;
+        let mut last_changes: BTreeMap<u16, (MonotonicTime, u16)> = BTreeMap::new();
         for step in steps {
-            let mut out = Vec::new();
-            let (mut answers, mut paused_told) = (1, false);
+            let mut outputs = Vec::new();
+            let (mut max_sends, mut reports_pause) = (1, false);
             match step {
                 Step::Wait(ms) => {
                     now += Duration::from_millis(ms);
-                    answers = 40;
-                    detector.handle(now, Input::Tick, &mut out);
+                    max_sends = 40;
+                    detector.handle(now, Input::Tick, &mut outputs);
                 }
-                Step::Gossip(by, all, paused, ping) => {
+                Step::Gossip(sender, claims, paused, ping) => {
                     let heartbeat = |incarnation, beat, left| Heartbeat { incarnation, beat, left };
-                    let claims = all.iter().map(|(member, incarnation, beat, left, state)| MemberClaim {
+                    let member_claims = claims.iter().map(|(member, incarnation, beat, left, state)| MemberClaim {
                         member: *member,
                         heartbeat: heartbeat(*incarnation, *beat, *left),
                         state: claimed_state(*state),
                     });
-                    let own = heartbeat(all.len() as u16, (now.as_micros() / 200_000) as u16 & 0x3fff, false);
-                    let gossip = Gossip { own, paused, isolated: false, claims: claims.collect(), window_start: 0, window: vec![] };
+                    let own = heartbeat(claims.len() as u16, (now.as_micros() / 200_000) as u16 & 0x3fff, false);
+                    let gossip = Gossip {
+                        own,
+                        paused,
+                        isolated: false,
+                        claims: member_claims.collect(),
+                        window_start: 0,
+                        window: vec![],
+                    };
                     let kind = if ping { MessageKind::Ping } else { MessageKind::Ack };
-                    let sealed = encode(kind, by, &gossip.encode());
-                    let opened = decode(&sealed).expect("an envelope");
-                    paused_told = paused;
-                    detector.handle(now, Input::Received { kind, from: by, body: opened.body }, &mut out);
+                    let datagram = encode(kind, sender, &gossip.encode());
+                    let envelope = decode(&datagram).expect("an envelope");
+                    reports_pause = paused;
+                    detector.handle(now, Input::Received { kind, from: sender, body: envelope.body }, &mut outputs);
                 }
-                Step::Bytes(by, kind, bytes) => {
-                    let kind = [MessageKind::Ping, MessageKind::Ack, MessageKind::IndirectPing, MessageKind::Ping, MessageKind::IndirectPing, MessageKind::Ack][usize::from(kind)];
-                    detector.handle(now, Input::Received { kind, from: by, body: &bytes }, &mut out);
+                Step::Bytes(sender, kind, bytes) => {
+                    let kind = [
+                        MessageKind::Ping,
+                        MessageKind::Ack,
+                        MessageKind::IndirectPing,
+                        MessageKind::Ping,
+                        MessageKind::IndirectPing,
+                        MessageKind::Ack,
+                    ][usize::from(kind)];
+                    detector.handle(now, Input::Received { kind, from: sender, body: &bytes }, &mut outputs);
                 }
                 Step::Leave => {
-                    answers = 8;
-                    detector.handle(now, Input::Leave, &mut out);
+                    max_sends = 8;
+                    detector.handle(now, Input::Leave, &mut outputs);
                 }
-                Step::Resized(all) => {
-                    number = all;
-                    detector.handle(now, Input::Resized { own_member: 3, members: all }, &mut out);
-                    changed.clear();
+                Step::Resized(new_members) => {
+                    members = new_members;
+                    detector.handle(now, Input::Resized { own_member: 3, members: new_members }, &mut outputs);
+                    last_changes.clear();
                 }
             }
-            let sent = out.iter().filter(|o| matches!(o, Output::Send { .. })).count();
-            prop_assert!(sent <= answers + 17, "{sent} datagrams at once");
+            let sent_datagrams = outputs.iter().filter(|output| matches!(output, Output::Send { .. })).count();
+            prop_assert!(sent_datagrams <= max_sends + 17, "{sent_datagrams} datagrams at once");
             let report = detector.report(now);
-            for output in out {
+            for output in outputs {
                 match output {
                     Output::Send { to, kind, body } => {
-                        prop_assert!(usize::from(to) < number.max(4) && to != 3);
+                        prop_assert!(usize::from(to) < members.max(4) && to != 3);
                         prop_assert!(body.len() <= MAX_BODY_BYTES && encode(kind, 3, &body).len() <= MAX_DATAGRAM_BYTES);
                     }
                     Output::StateChanged { member, state } => {
                         prop_assert!(member != 3);
-                        let incarnation = report.not_healthy.iter().find(|d| d.member == member).map_or(0, |d| d.incarnation);
-                        let last = changed.insert(member, (now, incarnation));
-                        if let (Some((at, of)), MemberState::Dead) = (last, state) {
-                            prop_assert!(of != incarnation || of == 0 || now >= at + STATE_HOLD || paused_told);
+                        let incarnation = report
+                            .not_healthy
+                            .iter()
+                            .find(|report| report.member == member)
+                            .map_or(0, |report| report.incarnation);
+                        let last = last_changes.insert(member, (now, incarnation));
+                        if let (Some((changed_at, changed_incarnation)), MemberState::Dead) = (last, state) {
+                            prop_assert!(
+                                changed_incarnation != incarnation
+                                    || changed_incarnation == 0
+                                    || now >= changed_at + STATE_HOLD
+                                    || reports_pause
+                            );
                         }
                     }
-                    Output::Paused(gone) => prop_assert!(gone >= Duration::from_millis(700)),
+                    Output::Paused(paused_for) => prop_assert!(paused_for >= Duration::from_millis(700)),
                     Output::Isolated | Output::Reconnected => {}
                 }
             }
-            prop_assert!(report.alive + report.dead + report.left <= number.max(4) + 1);
+            prop_assert!(report.alive + report.dead + report.left <= members.max(4) + 1);
         }
     }
 
     /// L1, L2: without an answer to a sync asked for after the own node was made, and the wait, nothing lent is used;
     /// and what may be used is never under the floor nor over the floor and the whole pool.
     #[test]
-    fn a_lease_needs_its_node_its_wait_and_a_complete_view(
+    fn a_lease_is_held_only_after_the_first_use_delay_and_with_an_answered_sync(
         events in proptest::collection::vec((0u8..9, 0usize..6, 1u64..1500), 1..80)
     ) {
         let settings = LeaseSettings::from_file(&FleetFile::default());
         let mut lease = Lease::new(ClusterSize { all: 6, own_zone: 6, zone: 1 });
-        let (mut now, mut registered, mut asked) = (START, None::<MonotonicTime>, None::<MonotonicTime>);
+        let (mut now, mut registered_at, mut synced_at) = (START, None::<MonotonicTime>, None::<MonotonicTime>);
         for (event, gateway, ms) in events {
             now += Duration::from_millis(ms);
             let input = match event {
-                0 | 1 => { registered = Some(now); LeaseInput::Registered }
-                2 => { (registered, asked) = (None, None); LeaseInput::SessionEnded }
+                0 | 1 => { registered_at = Some(now); LeaseInput::Registered }
+                2 => { (registered_at, synced_at) = (None, None); LeaseInput::SessionEnded }
                 3 => LeaseInput::NodeAppeared { name: format!("g{gateway}"), zone: 1 },
                 4 => LeaseInput::NodeGone(format!("g{gateway}")),
                 5 => LeaseInput::RereadStarted,
                 6 => LeaseInput::RereadComplete,
-                7 => { let sent_at = now - Duration::from_millis(1); asked = Some(sent_at); LeaseInput::Synced(sent_at) }
-                _ => { registered = registered.map(|_| now); asked = None; LeaseInput::Rewound }
+                7 => { let sent_at = now - Duration::from_millis(1); synced_at = Some(sent_at); LeaseInput::Synced(sent_at) }
+                _ => { registered_at = registered_at.map(|_| now); synced_at = None; LeaseInput::Rewound }
             };
             lease.handle(now, input);
             let share = lease.share(&settings, now);
-            let larchway::Shares { of_all: all, of_own_zone: near } = share.now(now);
-            prop_assert!(all >= 0.5 / 6.0 - 1e-9 && near >= 0.5 / 6.0 - 1e-9);
-            prop_assert!(all <= 0.5 / 6.0 + 0.5 + 1e-9 && near <= 0.5 / 6.0 + 0.5 + 1e-9);
+            let larchway::Shares { of_all, of_own_zone } = share.now(now);
+            prop_assert!(of_all >= 0.5 / 6.0 - 1e-9 && of_own_zone >= 0.5 / 6.0 - 1e-9);
+            prop_assert!(of_all <= 0.5 / 6.0 + 0.5 + 1e-9 && of_own_zone <= 0.5 / 6.0 + 0.5 + 1e-9);
             if lease.is_held(&settings, now) {
-                prop_assert!(registered.is_some_and(|at| at + EXPIRY_WAIT <= now), "before the wait");
-                prop_assert!(asked.is_some_and(|at| now < at + settings.lease), "after the lease");
+                prop_assert!(registered_at.is_some_and(|at| at + EXPIRY_WAIT <= now), "before the wait");
+                prop_assert!(synced_at.is_some_and(|at| now < at + settings.lease), "after the lease");
             }
         }
     }
@@ -166,8 +189,8 @@
         for (index, bytes) in datagrams.iter().enumerate() {
             if let Some(reports) = decode_reports(bytes) {
                 let now = START + Duration::from_millis(index as u64 * 10);
-                let first = gossip.receive(now, reports.clone());
-                prop_assert!(first.len() <= reports.len() && gossip.receive(now, reports).is_empty());
+                let new_reports = gossip.receive(now, reports.clone());
+                prop_assert!(new_reports.len() <= reports.len() && gossip.receive(now, reports).is_empty());
                 prop_assert!(gossip.take_pending().len() <= MAX_REPORTS_PER_DATAGRAM);
             }
         }
@@ -187,19 +210,19 @@
         state: ClaimedState::SuspectedFor(3),
     };
     let gossip = Gossip { claims: vec![claim], ..Gossip::default() }.encode();
-    let mut out = Vec::new();
-    detector.handle(START, Input::Received { kind: MessageKind::Ping, from: 0, body: &gossip }, &mut out);
-    assert!(matches!(out[..], [Output::Send { to: 0, kind: MessageKind::Ack, .. }]), "{out:?}");
+    let mut outputs = Vec::new();
+    detector.handle(START, Input::Received { kind: MessageKind::Ping, from: 0, body: &gossip }, &mut outputs);
+    assert!(matches!(outputs[..], [Output::Send { to: 0, kind: MessageKind::Ack, .. }]), "{outputs:?}");
     // And one that was asked to reach a member is configured with fewer before that one answers.
     detector.handle(
         START,
         Input::Received { kind: MessageKind::IndirectPing, from: 0, body: &11u16.to_be_bytes() },
-        &mut out,
+        &mut outputs,
     );
-    detector.handle(START, Input::Resized { own_member: 3, members: 6 }, &mut out);
+    detector.handle(START, Input::Resized { own_member: 3, members: 6 }, &mut outputs);
     detector.handle(
         START,
         Input::Received { kind: MessageKind::Ack, from: 5, body: &Gossip::default().encode() },
-        &mut out,
+        &mut outputs,
     );
 }
--- a/crates/cluster/tests/lease_model.rs
+++ b/crates/cluster/tests/lease_model.rs
@@ -11,17 +11,17 @@
 
 /// A world of so many gateways, for so many ticks; `stale`: one that wakes goes by the time it fell asleep at.
 #[derive(Clone)]
-struct World {
+struct LeaseModel {
     gateways: usize,
     ticks: u64,
     first_use_delay: Duration,
     lease: Duration,
     deleted_node_hold: Duration,
-    stale: bool,
+    stale_clock: bool,
     /// Pauses, kills and broken connections at most.
     faults: u8,
     /// Whether nodes are deleted by hand under sessions that live.
-    hands: bool,
+    manual_deletes: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,14 +29,14 @@
     up: bool,
     paused: bool,
     /// Which of its processes this is: what is sent to an earlier one reaches nobody.
-    life: u8,
+    incarnation: u8,
     lease: Lease,
     /// The time of its last turn.
-    turn: MonotonicTime,
+    handled_at: MonotonicTime,
     /// What is on its way to it, in order; and when it asked for a sync that has not reached the ensemble yet.
     inbox: VecDeque<Vec<Input>>,
-    asks: Option<MonotonicTime>,
-    asked: MonotonicTime,
+    syncing: Option<MonotonicTime>,
+    synced_at: MonotonicTime,
     connected: bool,
     /// Whether it knows of its own node.
     registered: bool,
@@ -54,28 +54,28 @@
     /// Pauses, kills and broken connections so far.
     faults: u8,
     /// Sessions ended so far.
-    ended: u8,
+    ended_sessions: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
     Connect(usize),
-    Ask(usize),
-    Reaches(usize),
-    Take(usize),
-    Breaks(usize),
+    Sync(usize),
+    DeliverSync(usize),
+    HandleInbox(usize),
+    Disconnect(usize),
     Pause(usize),
     Resume(usize),
     Kill(usize),
     Restart(usize),
-    Expire(usize),
-    Delete(usize),
-    Remake(usize),
+    ExpireSession(usize),
+    DeleteNode(usize),
+    RecreateNode(usize),
 }
 
-impl World {
-    fn terms(&self) -> LeaseSettings {
+impl LeaseModel {
+    fn settings(&self) -> LeaseSettings {
         LeaseSettings {
             floor: 0.0,
             lease: self.lease,
@@ -83,54 +83,54 @@
             deleted_node_hold: self.deleted_node_hold,
         }
     }
-    fn end(&self) -> MonotonicTime {
+    fn end_time(&self) -> MonotonicTime {
         MonotonicTime::from_micros(self.ticks)
     }
-    fn fresh(&self) -> Lease {
+    fn new_lease(&self) -> Lease {
         Lease::new(ClusterSize { all: self.gateways as u64, own_zone: self.gateways as u64, zone: 0 })
     }
 }
 
-fn name(who: usize) -> String {
-    format!("g{who}")
+fn node_name(id: usize) -> String {
+    format!("g{id}")
 }
 
 /// A gateway's node exists; all are of one zone.
-fn appeared(who: usize) -> Input {
-    Input::NodeAppeared { name: name(who), zone: 0 }
+fn node_appeared(id: usize) -> Input {
+    Input::NodeAppeared { name: node_name(id), zone: 0 }
 }
 
 impl State {
     /// Tells all that are connected, and watch, of a node.
-    fn tell(&mut self, input: &Input) {
-        for gateway in self.gateways.iter_mut().filter(|g| g.up && g.connected) {
+    fn notify(&mut self, input: &Input) {
+        for gateway in self.gateways.iter_mut().filter(|gateway| gateway.up && gateway.connected) {
             gateway.inbox.push_back(vec![input.clone()]);
         }
     }
     /// All nodes are read on a new connection, and the own one is made or looked at.
-    fn read(&mut self, who: usize) {
-        let mut all = vec![Input::RereadStarted];
-        all.extend(self.nodes.keys().map(|who| appeared(*who)));
-        all.push(Input::RereadComplete);
-        let gateway = &mut self.gateways[who];
+    fn reread_nodes(&mut self, id: usize) {
+        let mut inputs = vec![Input::RereadStarted];
+        inputs.extend(self.nodes.keys().map(|id| node_appeared(*id)));
+        inputs.push(Input::RereadComplete);
+        let gateway = &mut self.gateways[id];
         if !gateway.registered {
-            all.push(Input::Registered);
+            inputs.push(Input::Registered);
         }
         gateway.inbox.clear();
-        gateway.inbox.push_back(all);
+        gateway.inbox.push_back(inputs);
     }
     /// What a gateway uses now, of what all divide.
-    fn used(&self, world: &World, who: usize) -> f64 {
-        let gateway = &self.gateways[who];
+    fn used_share(&self, model: &LeaseModel, id: usize) -> f64 {
+        let gateway = &self.gateways[id];
         if !gateway.up || gateway.paused {
             return 0.0;
         }
-        let at = if world.stale { gateway.turn } else { self.now };
-        gateway.lease.share(&world.terms(), at).now(at).of_all
+        let lease_time = if model.stale_clock { gateway.handled_at } else { self.now };
+        gateway.lease.share(&model.settings(), lease_time).now(lease_time).of_all
     }
 }
 
-impl Model for World {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
@@ -138,12 +138,12 @@
         let gateway = Gateway {
             up: true,
             paused: false,
-            life: 0,
-            lease: self.fresh(),
-            turn: MonotonicTime::MIN,
+            incarnation: 0,
+            lease: self.new_lease(),
+            handled_at: MonotonicTime::MIN,
             inbox: VecDeque::new(),
-            asks: None,
-            asked: MonotonicTime::MIN,
+            syncing: None,
+            synced_at: MonotonicTime::MIN,
             connected: false,
             registered: false,
         };
@@ -152,60 +152,61 @@
             gateways: vec![gateway; self.gateways],
             nodes: BTreeMap::new(),
             faults: 0,
-            ended: 0,
+            ended_sessions: 0,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.now < self.end() {
+        if state.now < self.end_time() {
             actions.push(Action::Tick);
         }
-        for (who, gateway) in state.gateways.iter().enumerate() {
-            let session = state.nodes.get(&who);
+        for (id, gateway) in state.gateways.iter().enumerate() {
+            let session = state.nodes.get(&id);
             // The gateways are alike, so faults of one of them are enough; what is told to the other may be late.
-            let faulty = who == 0 && state.faults < self.faults;
+            let may_fail = id == 0 && state.faults < self.faults;
             // Sessions end when the ensemble will, also under a gateway that lives; once is enough.
-            if session.is_some() && state.ended < 1 {
-                actions.push(Action::Expire(who));
-                if self.hands && gateway.connected {
-                    actions.push(Action::Delete(who));
+            if session.is_some() && state.ended_sessions < 1 {
+                actions.push(Action::ExpireSession(id));
+                if self.manual_deletes && gateway.connected {
+                    actions.push(Action::DeleteNode(id));
                 }
             }
             if !gateway.up {
-                actions.push(Action::Restart(who));
+                actions.push(Action::Restart(id));
                 continue;
             }
-            if gateway.asks.is_some() && gateway.connected {
-                actions.push(Action::Reaches(who));
+            if gateway.syncing.is_some() && gateway.connected {
+                actions.push(Action::DeliverSync(id));
             }
             if gateway.paused {
-                actions.push(Action::Resume(who));
+                actions.push(Action::Resume(id));
                 continue;
             }
             match gateway.connected {
                 // The node of an earlier life stands in the way until its session is over.
-                false if session.is_none_or(|life| *life == gateway.life) => {
-                    actions.push(Action::Connect(who));
+                false if session.is_none_or(|incarnation| *incarnation == gateway.incarnation) => {
+                    actions.push(Action::Connect(id));
                 }
                 false => {}
                 true => {
                     if session.is_none() && !gateway.registered && gateway.inbox.is_empty() {
-                        actions.push(Action::Remake(who));
+                        actions.push(Action::RecreateNode(id));
                     }
-                    if gateway.asks.is_none() && gateway.inbox.is_empty() && gateway.asked < state.now {
-                        actions.push(Action::Ask(who));
+                    if gateway.syncing.is_none() && gateway.inbox.is_empty() && gateway.synced_at < state.now
+                    {
+                        actions.push(Action::Sync(id));
                     }
-                    if faulty {
-                        actions.push(Action::Breaks(who));
+                    if may_fail {
+                        actions.push(Action::Disconnect(id));
                     }
                 }
             }
             if !gateway.inbox.is_empty() {
-                actions.push(Action::Take(who));
+                actions.push(Action::HandleInbox(id));
             }
-            if faulty {
-                actions.push(Action::Pause(who));
-                actions.push(Action::Kill(who));
+            if may_fail {
+                actions.push(Action::Pause(id));
+                actions.push(Action::Kill(id));
             }
         }
     }
@@ -213,159 +214,163 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         let now = state.now;
-        state.faults += u8::from(matches!(action, Action::Breaks(_) | Action::Pause(_) | Action::Kill(_)));
+        state.faults +=
+            u8::from(matches!(action, Action::Disconnect(_) | Action::Pause(_) | Action::Kill(_)));
         match action {
             Action::Tick => {
                 state.now += TICK;
                 let now = state.now;
-                let awake = |g: &&mut Gateway| self.stale && !g.paused;
-                state.gateways.iter_mut().filter(awake).for_each(|g| g.turn = now);
+                let is_running = |gateway: &&mut Gateway| self.stale_clock && !gateway.paused;
+                state.gateways.iter_mut().filter(is_running).for_each(|gateway| gateway.handled_at = now);
             }
-            Action::Connect(who) => {
-                let life = state.gateways[who].life;
-                let fresh = state.nodes.insert(who, life).is_none();
-                if fresh {
+            Action::Connect(id) => {
+                let incarnation = state.gateways[id].incarnation;
+                let is_new_node = state.nodes.insert(id, incarnation).is_none();
+                if is_new_node {
                     // A gateway asks for a new session when it knows that the last one is over.
-                    state.gateways[who].lease.handle(now, Input::SessionEnded);
-                    state.gateways[who].registered = false;
+                    state.gateways[id].lease.handle(now, Input::SessionEnded);
+                    state.gateways[id].registered = false;
                     // Those that are connected hear of it; the own one reads all.
-                    state.tell(&appeared(who));
+                    state.notify(&node_appeared(id));
                 }
-                state.gateways[who].connected = true;
-                state.read(who);
+                state.gateways[id].connected = true;
+                state.reread_nodes(id);
             }
-            Action::Ask(who) => (state.gateways[who].asks, state.gateways[who].asked) = (Some(now), now),
-            Action::Reaches(who) => {
-                let gateway = &mut state.gateways[who];
-                let asked = gateway.asks.take()?;
-                if state.nodes.get(&who) == Some(&gateway.life) {
-                    gateway.inbox.push_back(vec![Input::Synced(asked)]);
+            Action::Sync(id) => (state.gateways[id].syncing, state.gateways[id].synced_at) = (Some(now), now),
+            Action::DeliverSync(id) => {
+                let gateway = &mut state.gateways[id];
+                let sent_at = gateway.syncing.take()?;
+                if state.nodes.get(&id) == Some(&gateway.incarnation) {
+                    gateway.inbox.push_back(vec![Input::Synced(sent_at)]);
                 }
             }
-            Action::Take(who) => {
-                let gateway = &mut state.gateways[who];
+            Action::HandleInbox(id) => {
+                let gateway = &mut state.gateways[id];
                 let inputs = gateway.inbox.pop_front()?;
-                gateway.turn = if self.stale { now } else { MonotonicTime::MIN };
+                gateway.handled_at = if self.stale_clock { now } else { MonotonicTime::MIN };
                 gateway.registered |= inputs.contains(&Input::Registered);
                 gateway.registered &= !inputs.contains(&Input::SessionEnded);
                 inputs.into_iter().for_each(|input| gateway.lease.handle(now, input));
             }
-            Action::Breaks(who) => {
-                let gateway = &mut state.gateways[who];
-                (gateway.connected, gateway.asks) = (false, None);
+            Action::Disconnect(id) => {
+                let gateway = &mut state.gateways[id];
+                (gateway.connected, gateway.syncing) = (false, None);
                 gateway.inbox.clear();
             }
-            Action::Pause(who) => state.gateways[who].paused = true,
-            Action::Resume(who) => state.gateways[who].paused = false,
-            Action::Kill(who) => {
-                let gateway = &mut state.gateways[who];
-                (gateway.up, gateway.connected, gateway.asks) = (false, false, None);
-                (gateway.lease, gateway.registered) = (self.fresh(), false);
+            Action::Pause(id) => state.gateways[id].paused = true,
+            Action::Resume(id) => state.gateways[id].paused = false,
+            Action::Kill(id) => {
+                let gateway = &mut state.gateways[id];
+                (gateway.up, gateway.connected, gateway.syncing) = (false, false, None);
+                (gateway.lease, gateway.registered) = (self.new_lease(), false);
                 gateway.inbox.clear();
             }
-            Action::Restart(who) => {
-                let gateway = &mut state.gateways[who];
+            Action::Restart(id) => {
+                let gateway = &mut state.gateways[id];
                 (gateway.up, gateway.paused) = (true, false);
-                gateway.turn = if self.stale { now } else { MonotonicTime::MIN };
-                gateway.life += 1;
+                gateway.handled_at = if self.stale_clock { now } else { MonotonicTime::MIN };
+                gateway.incarnation += 1;
             }
-            Action::Expire(who) => {
-                state.nodes.remove(&who)?;
-                state.ended += 1;
+            Action::ExpireSession(id) => {
+                state.nodes.remove(&id)?;
+                state.ended_sessions += 1;
                 // Whoever owned it hears nothing more on that session.
-                let gateway = &mut state.gateways[who];
-                (gateway.connected, gateway.asks) = (false, None);
+                let gateway = &mut state.gateways[id];
+                (gateway.connected, gateway.syncing) = (false, None);
                 gateway.inbox.clear();
-                state.tell(&Input::NodeGone(name(who)));
+                state.notify(&Input::NodeGone(node_name(id)));
             }
-            Action::Delete(who) => {
+            Action::DeleteNode(id) => {
                 // By somebody's hand: the session lives, and the gateway hears of it as the others do.
-                state.nodes.remove(&who)?;
-                state.ended += 1;
-                state.tell(&Input::NodeGone(name(who)));
-                state.gateways[who].inbox.pop_back();
-                state.gateways[who].inbox.push_back(vec![Input::SessionEnded, Input::NodeGone(name(who))]);
+                state.nodes.remove(&id)?;
+                state.ended_sessions += 1;
+                state.notify(&Input::NodeGone(node_name(id)));
+                state.gateways[id].inbox.pop_back();
+                state.gateways[id].inbox.push_back(vec![Input::SessionEnded, Input::NodeGone(node_name(id))]);
             }
-            Action::Remake(who) => {
-                state.nodes.insert(who, state.gateways[who].life);
-                state.tell(&appeared(who));
-                state.gateways[who].inbox.push_back(vec![Input::Registered]);
+            Action::RecreateNode(id) => {
+                state.nodes.insert(id, state.gateways[id].incarnation);
+                state.notify(&node_appeared(id));
+                state.gateways[id].inbox.push_back(vec![Input::Registered]);
             }
         }
         Some(state)
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.now <= self.end()
-            && state.gateways.iter().all(|g| g.life <= 1 && g.inbox.len() <= 3)
-            && state.gateways.iter().map(|g| g.life).sum::<u8>() <= 1
+        state.now <= self.end_time()
+            && state.gateways.iter().all(|gateway| gateway.incarnation <= 1 && gateway.inbox.len() <= 3)
+            && state.gateways.iter().map(|gateway| gateway.incarnation).sum::<u8>() <= 1
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("shares never sum to more than 1", |world: &World, state: &State| {
-                (0..world.gateways).map(|who| state.used(world, who)).sum::<f64>() <= 1.0 + 1e-9
+            Property::always("shares never sum to more than 1", |model: &LeaseModel, state: &State| {
+                (0..model.gateways).map(|id| state.used_share(model, id)).sum::<f64>() <= 1.0 + 1e-9
             }),
-            Property::sometimes("one takes up all that the other left", |world: &World, state: &State| {
-                (0..world.gateways).any(|who| state.used(world, who) > 0.99)
-                    && state.gateways.iter().any(|g| g.life > 0 || !g.up)
-            }),
-            Property::sometimes("all use their parts at once", |world: &World, state: &State| {
-                (0..world.gateways).all(|who| state.used(world, who) > 0.0)
+            Property::sometimes(
+                "one takes up all that the other left",
+                |model: &LeaseModel, state: &State| {
+                    (0..model.gateways).any(|id| state.used_share(model, id) > 0.99)
+                        && state.gateways.iter().any(|gateway| gateway.incarnation > 0 || !gateway.up)
+                },
+            ),
+            Property::sometimes("all use their parts at once", |model: &LeaseModel, state: &State| {
+                (0..model.gateways).all(|id| state.used_share(model, id) > 0.0)
             }),
         ]
     }
 }
 
-fn check(world: World) -> (bool, usize) {
-    let checker = world.clone().checker().threads(4).spawn_bfs().join();
-    let found = checker.discovery("shares never sum to more than 1");
-    if let Some(path) = &found {
+fn check(model: LeaseModel) -> (bool, usize) {
+    let checker = model.clone().checker().threads(4).spawn_bfs().join();
+    let violation = checker.discovery("shares never sum to more than 1");
+    if let Some(path) = &violation {
         eprintln!("{:?}", path.clone().into_actions());
     }
-    let broken = found.is_some();
-    if !broken {
+    let is_violated = violation.is_some();
+    if !is_violated {
         // What can never be reached would make the first property true of nothing.
-        if world.faults > 0 {
+        if model.faults > 0 {
             checker.assert_any_discovery("one takes up all that the other left");
         }
         checker.assert_any_discovery("all use their parts at once");
     }
-    (broken, checker.unique_state_count())
+    (is_violated, checker.unique_state_count())
 }
 
-const SOUND: World = World {
+const CORRECT: LeaseModel = LeaseModel {
     gateways: 2,
     ticks: 4,
     first_use_delay: TICK,
     lease: TICK,
     deleted_node_hold: TICK,
-    stale: false,
+    stale_clock: false,
     faults: 2,
-    hands: false,
+    manual_deletes: false,
 };
-const HANDS: World = World { faults: 0, hands: true, ..SOUND };
+const MANUAL_DELETES: LeaseModel = LeaseModel { faults: 0, manual_deletes: true, ..CORRECT };
 
 #[test]
 fn shares_never_sum_to_more_than_one_whatever_is_lost_paused_killed_or_late() {
-    let (broken, states) = check(SOUND);
-    assert!(!broken, "of {states} states");
+    let (is_violated, states) = check(CORRECT);
+    assert!(!is_violated, "of {states} states");
     assert!(states > 10_000, "only {states} states");
-    let (broken, states) = check(HANDS);
-    assert!(!broken, "of {states} states");
+    let (is_violated, states) = check(MANUAL_DELETES);
+    assert!(!is_violated, "of {states} states");
 }
 
 #[test]
-fn a_lease_used_after_a_pause_is_found() {
-    assert!(check(World { stale: true, ..SOUND }).0);
+fn the_checker_finds_a_lease_used_after_a_pause() {
+    assert!(check(LeaseModel { stale_clock: true, ..CORRECT }).0);
 }
 
 #[test]
-fn a_wait_shorter_than_the_lease_is_found() {
-    assert!(check(World { first_use_delay: Duration::ZERO, ..HANDS }).0);
+fn the_checker_finds_a_first_use_delay_shorter_than_the_lease() {
+    assert!(check(LeaseModel { first_use_delay: Duration::ZERO, ..MANUAL_DELETES }).0);
 }
 
 #[test]
-fn a_share_taken_up_as_soon_as_a_session_has_ended_is_found() {
-    assert!(check(World { deleted_node_hold: Duration::ZERO, ..SOUND }).0);
+fn the_checker_finds_a_share_reassigned_as_soon_as_a_session_has_ended() {
+    assert!(check(LeaseModel { deleted_node_hold: Duration::ZERO, ..CORRECT }).0);
 }
--- a/crates/cluster/tests/lease_nodes.rs
+++ b/crates/cluster/tests/lease_nodes.rs
@@ -24,33 +24,33 @@
                 self.stale.remove(name);
                 self.nodes.insert(name.clone(), (*zone, None));
             }
-            Input::NodeGone(name) => self.gone(now, name),
+            Input::NodeGone(name) => self.mark_deleted(now, name),
             Input::RereadStarted => self.stale = self.nodes.keys().cloned().collect(),
             Input::RereadComplete => {
                 for name in std::mem::take(&mut self.stale) {
-                    self.gone(now, &name);
+                    self.mark_deleted(now, &name);
                 }
             }
             _ => {}
         }
     }
 
-    fn gone(&mut self, now: MonotonicTime, name: &str) {
-        if let Some((_, gone)) = self.nodes.get_mut(name) {
-            *gone = gone.or(Some(now));
+    fn mark_deleted(&mut self, now: MonotonicTime, name: &str) {
+        if let Some((_, deleted_at)) = self.nodes.get_mut(name) {
+            *deleted_at = deleted_at.or(Some(now));
         }
-        self.nodes.retain(|_, (_, gone)| gone.is_none_or(|at| now < at + EXPIRY_WAIT));
+        self.nodes.retain(|_, (_, deleted_at)| deleted_at.is_none_or(|at| now < at + EXPIRY_WAIT));
     }
 
     fn counts(&self, now: MonotonicTime, hold: Duration) -> NodeCounts {
-        let is_counted = |gone: &Option<MonotonicTime>| gone.is_none_or(|at| now < at + hold);
-        let all = self.nodes.values().filter(|(_, gone)| is_counted(gone));
+        let is_counted = |deleted_at: &Option<MonotonicTime>| deleted_at.is_none_or(|at| now < at + hold);
+        let all = self.nodes.values().filter(|(_, deleted_at)| is_counted(deleted_at));
         let in_zone = all.clone().filter(|(zone, _)| *zone == OWN_ZONE || *zone == UNKNOWN_ZONE);
         NodeCounts { in_zone: in_zone.count() as u64, all: all.count() as u64 }
     }
 }
 
-fn appeared(name: &str, zone: usize) -> Input {
+fn node_appeared(name: &str, zone: usize) -> Input {
     Input::NodeAppeared { name: name.into(), zone }
 }
 
@@ -59,7 +59,7 @@
 }
 
 fn input() -> impl Strategy<Value = Input> {
-    let name = (0usize..12).prop_map(|who| format!("g{who}"));
+    let name = (0usize..12).prop_map(|number| format!("g{number}"));
     let zone = prop_oneof![Just(0usize), Just(OWN_ZONE), Just(2), Just(UNKNOWN_ZONE)];
     prop_oneof![
         6 => (name.clone(), zone).prop_map(|(name, zone)| Input::NodeAppeared { name, zone }),
@@ -76,41 +76,41 @@
 
     /// L3: the counts are those of a walk over all nodes, at every hold, whatever comes and goes in whatever order.
     #[test]
-    fn counts_are_those_of_a_walk_over_all_nodes(
+    fn node_counts_match_a_naive_model(
         steps in proptest::collection::vec((0u64..1_200_000, input()), 1..150),
         hold in prop_oneof![Just(Duration::ZERO), Just(EXPIRY_WAIT / 2), Just(EXPIRY_WAIT)],
-        later in (0..2 * duration_micros(EXPIRY_WAIT)).prop_map(Duration::from_micros),
+        delay in (0..2 * duration_micros(EXPIRY_WAIT)).prop_map(Duration::from_micros),
     ) {
         let settings = LeaseSettings { deleted_node_hold: hold, ..LeaseSettings::from_file(&FleetFile::default()) };
-        let (mut counted, mut naive, mut now) = (lease(), NaiveNodes::default(), START);
-        for (waited, input) in steps {
-            now += Duration::from_micros(waited);
-            prop_assert_eq!(counted.node_counts(&settings, now), naive.counts(now, hold), "before {:?}", &input);
+        let (mut lease_under_test, mut naive, mut now) = (lease(), NaiveNodes::default(), START);
+        for (wait_micros, input) in steps {
+            now += Duration::from_micros(wait_micros);
+            prop_assert_eq!(lease_under_test.node_counts(&settings, now), naive.counts(now, hold), "before {:?}", &input);
             naive.handle(now, &input);
-            counted.handle(now, input);
-            prop_assert_eq!(counted.node_counts(&settings, now), naive.counts(now, hold));
+            lease_under_test.handle(now, input);
+            prop_assert_eq!(lease_under_test.node_counts(&settings, now), naive.counts(now, hold));
         }
-        prop_assert_eq!(counted.node_counts(&settings, now + later), naive.counts(now + later, hold));
+        prop_assert_eq!(lease_under_test.node_counts(&settings, now + delay), naive.counts(now + delay, hold));
     }
 }
 
 /// What is beyond the bound is not kept, but counted: the share of each gets smaller, never larger.
 #[test]
-fn nodes_beyond_the_bound_count_and_are_not_kept() {
+fn nodes_beyond_the_limit_are_counted_but_not_stored() {
     const { assert!(MAX_NODES > 12_000, "the fleet of two years has to fit") };
     let settings = LeaseSettings::from_file(&FleetFile::default());
     let mut lease = lease();
-    for who in 0..MAX_NODES + 100 {
-        lease.handle(START, appeared(&format!("g{who}"), who % 110));
+    for number in 0..MAX_NODES + 100 {
+        lease.handle(START, node_appeared(&format!("g{number}"), number % 110));
     }
     assert_eq!(lease.node_count(), MAX_NODES);
     assert_eq!(lease.node_counts(&settings, START).all, MAX_NODES as u64 + 100);
     // One that is kept and told of again is no further one.
-    lease.handle(START, appeared("g7", 7));
+    lease.handle(START, node_appeared("g7", 7));
     assert_eq!(lease.node_counts(&settings, START).all, MAX_NODES as u64 + 100);
     // Room is there again once one that went has stopped counting.
     lease.handle(START, Input::NodeGone("g7".into()));
-    lease.handle(START + EXPIRY_WAIT, appeared("new", 7));
+    lease.handle(START + EXPIRY_WAIT, node_appeared("new", 7));
     assert_eq!(lease.node_count(), MAX_NODES);
     assert_eq!(lease.node_counts(&settings, START + EXPIRY_WAIT).all, MAX_NODES as u64 + 100);
 }
--- a/crates/cluster/tests/tiers/fleet_simulation.rs
+++ b/crates/cluster/tests/tiers/fleet_simulation.rs
@@ -10,12 +10,12 @@
 
 pub const START: MonotonicTime = MonotonicTime::from_micros(1_000_000_000);
 /// The least time between two moments.
-const INSTANT: Duration = Duration::from_micros(1);
+const MIN_TIME_STEP: Duration = Duration::from_micros(1);
 /// A datagram is on its way for so many µs at least, and up to so many more.
-const TRANSIT_MICROS: u64 = 300;
-const TRANSIT_SPREAD_MICROS: u64 = 4_000;
+const MIN_TRANSIT_MICROS: u64 = 300;
+const TRANSIT_JITTER_MICROS: u64 = 4_000;
 /// Steps in which a share is drawn.
-const SHARE_STEPS: u64 = 1_000;
+const LOSS_STEPS: u64 = 1_000;
 
 /// A fleet of regions of zones of sites of members, all alike.
 #[derive(Debug, Clone, Copy)]
@@ -41,17 +41,17 @@
 }
 
 /// A datagram on its way, or none: it is time.
-struct Arrival {
+struct Event {
     to: u16,
     datagram: Option<(u16, MessageKind, Vec<u8>)>,
     /// The process that a tick is for.
-    run: u64,
+    incarnation: u64,
 }
 
 pub struct Process {
     pub membership: Option<TieredMembership>,
     pub is_paused: bool,
-    run: u64,
+    incarnation: u64,
     inbox: Vec<(u16, MessageKind, Vec<u8>)>,
 }
 
@@ -60,17 +60,17 @@
     pub processes: Vec<Process>,
     pub now: MonotonicTime,
     /// Share of datagrams lost, in thousandths.
-    pub lost: u64,
+    pub loss_per_mille: u64,
     /// Links that carry nothing, from and to.
-    pub cut: Vec<(u16, u16)>,
+    pub cut_links: Vec<(u16, u16)>,
     pub datagrams: u64,
     pub bytes: u64,
     /// Living members that were declared dead by one of their site.
-    pub removed: Vec<(u16, u16)>,
-    events: BTreeMap<(MonotonicTime, u64), Arrival>,
-    order: u64,
+    pub false_deaths: Vec<(u16, u16)>,
+    events: BTreeMap<(MonotonicTime, u64), Event>,
+    next_event_number: u64,
     seed: u64,
-    drawn: u64,
+    random_draws: u64,
 }
 
 impl Fleet {
@@ -79,46 +79,51 @@
         let mut fleet = Fleet {
             processes: Vec::new(),
             now: START,
-            lost: 0,
-            cut: Vec::new(),
+            loss_per_mille: 0,
+            cut_links: Vec::new(),
             datagrams: 0,
             bytes: 0,
-            removed: Vec::new(),
+            false_deaths: Vec::new(),
             events: BTreeMap::new(),
-            order: 0,
+            next_event_number: 0,
             seed,
-            drawn: 0,
+            random_draws: 0,
             topology,
         };
         for member in 0..fleet.topology.members() as u16 {
-            fleet.processes.push(Process { membership: None, is_paused: false, run: 0, inbox: Vec::new() });
+            fleet.processes.push(Process {
+                membership: None,
+                is_paused: false,
+                incarnation: 0,
+                inbox: Vec::new(),
+            });
             fleet.start(member);
         }
         fleet
     }
 
-    fn draw(&mut self, bound: u64) -> u64 {
-        self.drawn += 1;
-        mix(mix(self.seed) ^ self.drawn) % bound
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.random_draws += 1;
+        mix(mix(self.seed) ^ self.random_draws) % bound
     }
 
-    fn at(&mut self, at: MonotonicTime, arrival: Arrival) {
-        self.order += 1;
-        self.events.insert((at, self.order), arrival);
+    fn schedule(&mut self, at: MonotonicTime, event: Event) {
+        self.next_event_number += 1;
+        self.events.insert((at, self.next_event_number), event);
     }
 
     pub fn start(&mut self, member: u16) {
-        let seed = mix(self.seed ^ self.order << 16 ^ u64::from(member));
+        let seed = mix(self.seed ^ self.next_event_number << 16 ^ u64::from(member));
         let (topology, settings) = (self.topology.clone(), FleetFile::default());
         let membership = TieredMembership::new(self.now, settings, topology, member, seed);
         let process = &mut self.processes[usize::from(member)];
         process.membership = Some(membership.expect("a member"));
-        process.run += 1;
+        process.incarnation += 1;
         process.is_paused = false;
         process.inbox.clear();
-        let run = process.run;
+        let incarnation = process.incarnation;
         let now = self.now;
-        self.at(now, Arrival { to: member, datagram: None, run });
+        self.schedule(now, Event { to: member, datagram: None, incarnation });
     }
 
     pub fn kill(&mut self, member: u16) {
@@ -132,10 +137,10 @@
     pub fn resume(&mut self, member: u16) {
         let process = &mut self.processes[usize::from(member)];
         process.is_paused = false;
-        let (run, inbox) = (process.run, std::mem::take(&mut process.inbox));
-        self.handle(Arrival { to: member, datagram: None, run });
+        let (incarnation, inbox) = (process.incarnation, std::mem::take(&mut process.inbox));
+        self.handle(Event { to: member, datagram: None, incarnation });
         for datagram in inbox {
-            self.handle(Arrival { to: member, datagram: Some(datagram), run });
+            self.handle(Event { to: member, datagram: Some(datagram), incarnation });
         }
     }
 
@@ -144,12 +149,12 @@
     }
 
     /// Plays for a time; after each event the check sees the fleet.
-    pub fn play(&mut self, span: Duration, mut check: impl FnMut(&Fleet)) {
+    pub fn run_for(&mut self, span: Duration, mut check: impl FnMut(&Fleet)) {
         let end = self.now + span;
         while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 < end) {
-            let ((at, _), arrival) = entry.remove_entry();
+            let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            if self.handle(arrival) {
+            if self.handle(event) {
                 check(self);
             }
         }
@@ -157,22 +162,22 @@
     }
 
     /// Returns whether anybody handled it.
-    fn handle(&mut self, arrival: Arrival) -> bool {
-        let Arrival { to, datagram, run } = arrival;
+    fn handle(&mut self, event: Event) -> bool {
+        let Event { to, datagram, incarnation } = event;
         let now = self.now;
         let process = &mut self.processes[usize::from(to)];
         let Some(membership) = &mut process.membership else { return false };
         let mut outputs = Vec::new();
         match datagram {
-            None if process.run != run || process.is_paused => return false,
+            None if process.incarnation != incarnation || process.is_paused => return false,
             Some(datagram) if process.is_paused => {
                 process.inbox.push(datagram);
                 return false;
             }
             None => {
                 membership.handle(now, Input::Tick, &mut outputs);
-                let due = membership.next_due().max(now + INSTANT);
-                self.at(due, Arrival { to, datagram: None, run });
+                let due = membership.next_due().max(now + MIN_TIME_STEP);
+                self.schedule(due, Event { to, datagram: None, incarnation });
             }
             Some((from, kind, body)) => {
                 membership.handle(now, Input::Received { kind, from, body: &body }, &mut outputs);
@@ -182,23 +187,25 @@
         true
     }
 
-    fn carry_out(&mut self, by: u16, output: Output) {
+    fn carry_out(&mut self, sender: u16, output: Output) {
         match output {
             Output::Send { to, kind, body } => {
-                assert!(body.len() <= MAX_BODY_BYTES && to != by, "{kind:?} from {by} to {to}");
+                assert!(body.len() <= MAX_BODY_BYTES && to != sender, "{kind:?} from {sender} to {to}");
                 self.datagrams += 1;
                 self.bytes += body.len() as u64;
-                if self.draw(SHARE_STEPS) < self.lost || self.cut.contains(&(by, to)) {
+                if self.random_below(LOSS_STEPS) < self.loss_per_mille
+                    || self.cut_links.contains(&(sender, to))
+                {
                     return;
                 }
-                let transit = TRANSIT_MICROS + self.draw(TRANSIT_SPREAD_MICROS);
+                let transit = MIN_TRANSIT_MICROS + self.random_below(TRANSIT_JITTER_MICROS);
                 let at = self.now + Duration::from_micros(transit);
-                self.at(at, Arrival { to, datagram: Some((by, kind, body)), run: 0 });
+                self.schedule(at, Event { to, datagram: Some((sender, kind, body)), incarnation: 0 });
             }
             Output::StateChanged { member, state } => {
                 use larchway_cluster::failure_detector::MemberState;
                 if state == MemberState::Dead && self.is_alive(member) {
-                    self.removed.push((by, member));
+                    self.false_deaths.push((sender, member));
                 }
             }
             _ => {}
@@ -216,14 +223,14 @@
     }
 
     /// Members of a group that live.
-    pub fn live(&self, tier: Tier, group: u16) -> u16 {
+    pub fn live_members(&self, tier: Tier, group: u16) -> u16 {
         let is_live =
             |member: &u16| self.topology.group_of(tier, *member) == Some(group) && self.is_alive(*member);
         (0..self.processes.len() as u16).filter(is_live).count() as u16
     }
 
     /// Calls for each number that each running gateway knows: the gateway, tier, group, and the numbers.
-    pub fn each_count(&self, mut call: impl FnMut(u16, Tier, u16, larchway_cluster::tiers::Count)) {
+    pub fn for_each_count(&self, mut call: impl FnMut(u16, Tier, u16, larchway_cluster::tiers::Count)) {
         for (member, process) in self.processes.iter().enumerate() {
             let member = member as u16;
             let Some(membership) = process.membership.as_ref().filter(|_| !process.is_paused) else {
--- a/crates/cluster/tests/tiers/histories.rs
+++ b/crates/cluster/tests/tiers/histories.rs
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const SHAPE: Shape = Shape { regions: 2, zones: 2, sites: 2, members: 3 };
+const FLEET_SHAPE: Shape = Shape { regions: 2, zones: 2, sites: 2, members: 3 };
 const MEMBERS: u16 = 24;
 /// Time in which numbers are right again after the last fault: a silent region is unknown after 8 s, a table is sent
 /// every 2 s, and a representative is found again after 2 s.
-const RIGHT_AGAIN: Duration = Duration::from_secs(20);
+const RECOVERY_TIME: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone)]
 enum Fault {
@@ -25,7 +25,7 @@
     Kill(u16),
     Restart(u16),
     Cut(u16, u16),
-    Lose(u64),
+    Loss(u64),
 }
 
 fn faults() -> impl Strategy<Value = Vec<(Fault, u64)>> {
@@ -34,13 +34,13 @@
         2 => (0..MEMBERS).prop_map(Fault::Kill),
         2 => (0..MEMBERS).prop_map(Fault::Restart),
         2 => (0..MEMBERS, 0..MEMBERS).prop_map(|(from, to)| Fault::Cut(from, to)),
-        1 => (0u64..400).prop_map(Fault::Lose),
+        1 => (0u64..400).prop_map(Fault::Loss),
     ];
     proptest::collection::vec((fault, 50u64..2_500), 1..12)
 }
 
 /// T1 and T5, and that those who hold a lease hold the one below.
-fn check_safety(fleet: &Fleet) {
+fn check_single_representatives(fleet: &Fleet) {
     for tier in Tier::ALL {
         for group in 0..fleet.topology.members() as u16 {
             let exists = (0..MEMBERS).any(|member| fleet.topology.group_of(tier, member) == Some(group));
@@ -53,8 +53,8 @@
     }
 }
 
-fn check_sizes(fleet: &Fleet) {
-    fleet.each_count(|member, tier, group, count| {
+fn check_counts_within_sizes(fleet: &Fleet) {
+    fleet.for_each_count(|member, tier, group, count| {
         let size = fleet.topology.size(tier, group);
         assert!(
             count.live + count.unknown <= size,
@@ -77,26 +77,26 @@
             fleet.start(member);
             resumes.remove(&member);
         }
-        Fault::Cut(from, to) => fleet.cut.push((from, to)),
-        Fault::Lose(share) => fleet.lost = share,
+        Fault::Cut(from, to) => fleet.cut_links.push((from, to)),
+        Fault::Loss(share) => fleet.loss_per_mille = share,
         Fault::Pause(..) => {}
     }
 }
 
 /// Plays for a time, and lets those go on whose pause ends in it.
-fn play(fleet: &mut Fleet, span: Duration, resumes: &mut BTreeMap<u16, MonotonicTime>) {
+fn run_with_resumes(fleet: &mut Fleet, span: Duration, resumes: &mut BTreeMap<u16, MonotonicTime>) {
     let end = fleet.now + span;
     while fleet.now < end {
         let next = resumes.values().min().copied().unwrap_or(end).clamp(fleet.now, end);
-        fleet.play(next - fleet.now, check_safety);
-        check_sizes(fleet);
+        fleet.run_for(next - fleet.now, check_single_representatives);
+        check_counts_within_sizes(fleet);
         let now = fleet.now;
-        let over: Vec<u16> =
+        let resumed: Vec<u16> =
             resumes.iter().filter(|(_, at)| **at <= now).map(|(member, _)| *member).collect();
-        for member in over {
+        for member in resumed {
             resumes.remove(&member);
             fleet.resume(member);
-            check_safety(fleet);
+            check_single_representatives(fleet);
         }
     }
 }
@@ -106,16 +106,16 @@
 
     /// T1 and T5 in every history; T8 to T10 once the faults have ended, where each site has its majority.
     #[test]
-    fn one_represents_each_group_and_numbers_are_right_after_the_faults(faults in faults(), seed in any::<u64>()) {
-        let mut fleet = Fleet::new(SHAPE, seed);
+    fn each_group_has_one_representative_and_counts_recover_after_faults(faults in faults(), seed in any::<u64>()) {
+        let mut fleet = Fleet::new(FLEET_SHAPE, seed);
         let mut resumes = BTreeMap::new();
-        play(&mut fleet, Duration::from_secs(6), &mut resumes);
+        run_with_resumes(&mut fleet, Duration::from_secs(6), &mut resumes);
         for (fault, ms) in &faults {
             apply(&mut fleet, fault, &mut resumes);
-            play(&mut fleet, Duration::from_millis(*ms), &mut resumes);
+            run_with_resumes(&mut fleet, Duration::from_millis(*ms), &mut resumes);
         }
-        fleet.cut.clear();
-        fleet.lost = 0;
+        fleet.cut_links.clear();
+        fleet.loss_per_mille = 0;
         let paused: Vec<u16> = resumes.keys().copied().collect();
         paused.into_iter().for_each(|member| fleet.resume(member));
         resumes.clear();
@@ -125,32 +125,32 @@
             let killed: Vec<u16> = members.into_iter().filter(|member| !fleet.is_alive(*member)).collect();
             killed.iter().skip(1).for_each(|member| fleet.start(*member));
         }
-        play(&mut fleet, RIGHT_AGAIN, &mut resumes);
+        run_with_resumes(&mut fleet, RECOVERY_TIME, &mut resumes);
         for tier in Tier::ALL {
             for group in 0..2u16 {
                 prop_assert_eq!(fleet.holders(tier, group).len(), 1, "T8: {:?} {}", tier, group);
             }
         }
-        let mut wrong = Vec::new();
-        fleet.each_count(|member, tier, group, count| {
-            let right = Count { live: fleet.live(tier, group), unknown: 0 };
-            if count != right {
-                wrong.push((member, tier, group, count, right));
+        let mut wrong_counts = Vec::new();
+        fleet.for_each_count(|member, tier, group, count| {
+            let expected = Count { live: fleet.live_members(tier, group), unknown: 0 };
+            if count != expected {
+                wrong_counts.push((member, tier, group, count, expected));
             }
         });
-        prop_assert!(wrong.is_empty(), "T9, T10: {:?}", wrong);
+        prop_assert!(wrong_counts.is_empty(), "T9, T10: {:?}", wrong_counts);
     }
 
     /// T5, T7: whatever bytes come from whomever, a gateway answers little, counts nothing beyond its size and names
     /// nobody that is not configured.
     #[test]
-    fn no_bytes_make_a_gateway_leave_its_bounds(
+    fn arbitrary_messages_never_make_a_gateway_exceed_its_bounds(
         steps in proptest::collection::vec((0..MEMBERS + 3, 0u8..4, message_or_bytes(), 0u64..600), 1..80)
     ) {
-        let topology = Arc::new(SHAPE.topology());
+        let topology = Arc::new(FLEET_SHAPE.topology());
         let mut now = START;
-        let new = TieredMembership::new(now, FleetFile::default(), topology.clone(), 4, 7);
-        let mut membership = new.expect("a member");
+        let new_membership = TieredMembership::new(now, FleetFile::default(), topology.clone(), 4, 7);
+        let mut membership = new_membership.expect("a member");
         for (from, kind, body, ms) in steps {
             now += Duration::from_millis(ms);
             let mut outputs = Vec::new();
@@ -179,7 +179,7 @@
     /// T4, T6 against a naive model: the numbers are those of the latest report by (term, sequence) among all that
     /// came, if any came within the timeout.
     #[test]
-    fn reports_are_those_of_the_naive_model(
+    fn reports_match_a_naive_model(
         steps in proptest::collection::vec((0u64..900, 1u32..5, 0u32..20, 0u16..9), 1..60)
     ) {
         let timeout = Duration::from_secs(5);
@@ -255,16 +255,21 @@
 
 /// Plays a history of faults and then the death of one of three; returns how many live at its site, as two others
 /// know.
-fn live_after_death(seed: u64, faults: &[(Fault, u64)], dead: u16, survivors: [u16; 2]) -> [usize; 2] {
-    let mut fleet = Fleet::new(SHAPE, seed);
+fn live_after_death(
+    seed: u64,
+    faults: &[(Fault, u64)],
+    dying_member: u16,
+    survivors: [u16; 2],
+) -> [usize; 2] {
+    let mut fleet = Fleet::new(FLEET_SHAPE, seed);
     let mut resumes = BTreeMap::new();
-    play(&mut fleet, Duration::from_secs(6), &mut resumes);
+    run_with_resumes(&mut fleet, Duration::from_secs(6), &mut resumes);
     for (fault, ms) in faults {
         apply(&mut fleet, fault, &mut resumes);
-        play(&mut fleet, Duration::from_millis(*ms), &mut resumes);
+        run_with_resumes(&mut fleet, Duration::from_millis(*ms), &mut resumes);
     }
-    fleet.kill(dead);
-    play(&mut fleet, Duration::from_secs(7), &mut resumes);
+    fleet.kill(dying_member);
+    run_with_resumes(&mut fleet, Duration::from_secs(7), &mut resumes);
     survivors.map(|survivor| {
         let membership = fleet.processes[usize::from(survivor)].membership.as_ref().expect("runs");
         membership.site_report(fleet.now).alive
--- a/crates/cluster/tests/tiers/scale.rs
+++ b/crates/cluster/tests/tiers/scale.rs
@@ -9,47 +9,47 @@
     Shape { regions: 4, zones: 2, sites: 8, members: 4 },
     Shape { regions: 16, zones: 2, sites: 8, members: 4 },
 ];
-const PLAYED: Duration = Duration::from_secs(12);
+const SIMULATED_TIME: Duration = Duration::from_secs(12);
 /// Growth allowed from one to the next: representatives have as many more partners as the tier has groups, and there
 /// are few of them.
-const CONSTANT: f64 = 1.25;
+const MAX_GROWTH: f64 = 1.25;
 
-struct Spent {
+struct GatewayUsage {
     gateways: usize,
     datagrams: f64,
     bytes: f64,
-    entries: usize,
+    known_groups: usize,
 }
 
-fn play(shape: Shape) -> Spent {
+fn simulate(shape: Shape) -> GatewayUsage {
     let mut fleet = Fleet::new(shape, 3);
     // The start, with all its elections, is another matter.
-    fleet.play(Duration::from_secs(6), |_| {});
+    fleet.run_for(Duration::from_secs(6), |_| {});
     let (datagrams, bytes) = (fleet.datagrams, fleet.bytes);
-    fleet.play(PLAYED, |_| {});
+    fleet.run_for(SIMULATED_TIME, |_| {});
     let gateways = fleet.topology.members();
-    let member_seconds = gateways as f64 * PLAYED.as_secs_f64();
-    let entries =
+    let member_seconds = gateways as f64 * SIMULATED_TIME.as_secs_f64();
+    let known_groups =
         |tier| fleet.topology.siblings(tier, fleet.topology.group_of(tier, 0).expect("a member")).len();
-    Spent {
+    GatewayUsage {
         gateways,
         datagrams: (fleet.datagrams - datagrams) as f64 / member_seconds,
         bytes: (fleet.bytes - bytes) as f64 / member_seconds,
-        entries: Tier::ALL.into_iter().map(entries).sum(),
+        known_groups: Tier::ALL.into_iter().map(known_groups).sum(),
     }
 }
 
 #[test]
-fn a_gateway_sends_the_same_in_a_fleet_of_any_size_and_knows_of_its_branch_alone() {
-    let spent = SHAPES.map(play);
-    for (spent, times) in spent.iter().zip([1, 4, 16]) {
-        assert_eq!(spent.gateways, 64 * times);
+fn traffic_per_gateway_is_independent_of_the_fleet_size_and_it_knows_only_sibling_groups() {
+    let usages = SHAPES.map(simulate);
+    for (usage, times) in usages.iter().zip([1, 4, 16]) {
+        assert_eq!(usage.gateways, 64 * times);
         // The sites of a zone, the zones of a region, and all regions: not the sites of the fleet.
-        assert!(spent.entries <= 8 + 2 + 16, "{} entries", spent.entries);
+        assert!(usage.known_groups <= 8 + 2 + 16, "{} entries", usage.known_groups);
     }
-    for pair in spent.windows(2) {
+    for pair in usages.windows(2) {
         let (small, large) = (&pair[0], &pair[1]);
-        assert!(large.datagrams <= small.datagrams * CONSTANT, "{} {}", small.datagrams, large.datagrams);
-        assert!(large.bytes <= small.bytes * CONSTANT, "{} {} bytes", small.bytes, large.bytes);
+        assert!(large.datagrams <= small.datagrams * MAX_GROWTH, "{} {}", small.datagrams, large.datagrams);
+        assert!(large.bytes <= small.bytes * MAX_GROWTH, "{} {} bytes", small.bytes, large.bytes);
     }
 }
--- a/crates/cluster/tests/tiers_model.rs
+++ b/crates/cluster/tests/tiers_model.rs
@@ -11,14 +11,14 @@
 
 const TICK: Duration = Duration::from_micros(1);
 /// When the worlds begin: all voters have waited by then.
-const BEGIN: u64 = 10;
+const START_MICROS: u64 = 10;
 const VOTERS: usize = 3;
 /// Those that stand: the third one only votes.
 const CANDIDATES: usize = 2;
 /// Terms that are played: campaigns that fail may follow each other within one tick.
 const MAX_TERM: u32 = 2;
 
-const SOUND: ElectionTiming = ElectionTiming {
+const CORRECT_TIMING: ElectionTiming = ElectionTiming {
     lease_duration: Duration::from_micros(2),
     grant_duration: Duration::from_micros(2),
     vote_delay: Duration::from_micros(2),
@@ -31,10 +31,10 @@
 
 /// An election under faults; `uses_time_of_sleep`: one that wakes looks at its lease with the time it fell asleep at.
 #[derive(Clone)]
-struct ElectionWorld {
+struct ElectionModel {
     timing: ElectionTiming,
     ticks: u64,
-    uses_time_of_sleep: bool,
+    uses_stale_clock: bool,
     pauses: u8,
     restarts: u8,
     /// Messages on their way at most.
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Letter {
+enum Message {
     Request { from: u16, to: u16, term: u32, round: u32, is_renewal: bool },
     Grant { from: u16, to: u16, term: u32, round: u32 },
     Refusal { to: u16, term: u32 },
@@ -53,14 +53,14 @@
     election: Election,
     is_paused: bool,
     /// The time of its last turn.
-    turn: MonotonicTime,
+    last_handled_at: MonotonicTime,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ElectionState {
     now: MonotonicTime,
     gateways: Vec<Gateway>,
-    in_flight: BTreeSet<Letter>,
+    in_flight: BTreeSet<Message>,
     pauses: u8,
     restarts: u8,
 }
@@ -68,23 +68,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
-    Turn(usize),
-    Deliver(Letter),
+    HandleTick(usize),
+    Deliver(Message),
     Pause(usize),
     Resume(usize),
     Restart(usize),
 }
 
-impl ElectionWorld {
-    fn election(&self, now: MonotonicTime, number: usize, life: u8) -> Election {
-        let seed = (number as u64) << 8 | u64::from(life);
+impl ElectionModel {
+    fn election(&self, now: MonotonicTime, number: usize, incarnation: u8) -> Election {
+        let seed = (number as u64) << 8 | u64::from(incarnation);
         Election::new(now, self.timing, number as u16, number, VOTERS, seed)
     }
 
     /// Whether a gateway acts as the representative now.
-    fn acts(&self, state: &ElectionState, number: usize) -> bool {
+    fn acts_as_representative(&self, state: &ElectionState, number: usize) -> bool {
         let gateway = &state.gateways[number];
-        let time = if self.uses_time_of_sleep { gateway.turn } else { state.now };
+        let time = if self.uses_stale_clock { gateway.last_handled_at } else { state.now };
         !gateway.is_paused && gateway.election.held_term(time).is_some()
     }
 }
@@ -94,51 +94,54 @@
         let mut outputs = Vec::new();
         let now = self.now;
         let gateway = &mut self.gateways[number];
-        gateway.turn = now;
+        gateway.last_handled_at = now;
         gateway.election.handle(now, input, &mut outputs);
         let from = number as u16;
         for output in outputs {
             match output {
                 Output::SendRequest(Request { term, round, is_renewal }) => {
                     for to in (0..VOTERS as u16).filter(|to| *to != from) {
-                        self.in_flight.insert(Letter::Request { from, to, term, round, is_renewal });
+                        self.in_flight.insert(Message::Request { from, to, term, round, is_renewal });
                     }
                 }
                 Output::Grant { candidate, term, round } => {
-                    self.in_flight.insert(Letter::Grant { from, to: candidate, term, round });
+                    self.in_flight.insert(Message::Grant { from, to: candidate, term, round });
                 }
                 Output::Refuse { candidate, term } => {
-                    self.in_flight.insert(Letter::Refusal { to: candidate, term });
+                    self.in_flight.insert(Message::Refusal { to: candidate, term });
                 }
             }
         }
     }
 
-    fn deliver(&mut self, letter: Letter) -> Option<()> {
-        let (to, input) = match letter {
-            Letter::Request { from, to, term, round, is_renewal } => {
+    fn deliver(&mut self, message: Message) -> Option<()> {
+        let (to, input) = match message {
+            Message::Request { from, to, term, round, is_renewal } => {
                 let request = Request { term, round, is_renewal };
                 (to, Input::Request { candidate: from, request })
             }
-            Letter::Grant { from, to, term, round } => {
+            Message::Grant { from, to, term, round } => {
                 (to, Input::Grant { voter: usize::from(from), term, round })
             }
-            Letter::Refusal { to, term } => (to, Input::Refused { term }),
+            Message::Refusal { to, term } => (to, Input::Refused { term }),
         };
         let is_awake = !self.gateways[usize::from(to)].is_paused;
         is_awake.then(|| self.handle(usize::from(to), input))
     }
 }
 
-impl Model for ElectionWorld {
+impl Model for ElectionModel {
     type State = ElectionState;
     type Action = Action;
 
     fn init_states(&self) -> Vec<ElectionState> {
-        let started = MonotonicTime::from_micros(BEGIN) - self.timing.vote_delay;
-        let now = MonotonicTime::from_micros(BEGIN);
-        let gateway =
-            |number| Gateway { election: self.election(started, number, 0), is_paused: false, turn: now };
+        let started_at = MonotonicTime::from_micros(START_MICROS) - self.timing.vote_delay;
+        let now = MonotonicTime::from_micros(START_MICROS);
+        let gateway = |number| Gateway {
+            election: self.election(started_at, number, 0),
+            is_paused: false,
+            last_handled_at: now,
+        };
         let gateways = (0..VOTERS).map(gateway).collect();
         vec![ElectionState { now, gateways, in_flight: BTreeSet::new(), pauses: 0, restarts: 0 }]
     }
@@ -152,7 +155,7 @@
                 continue;
             }
             if number < CANDIDATES {
-                actions.push(Action::Turn(number));
+                actions.push(Action::HandleTick(number));
             }
             if state.pauses < self.pauses {
                 actions.push(Action::Pause(number));
@@ -169,12 +172,16 @@
             Action::Tick => {
                 state.now += TICK;
                 let now = state.now;
-                state.gateways.iter_mut().filter(|gateway| !gateway.is_paused).for_each(|g| g.turn = now);
+                state
+                    .gateways
+                    .iter_mut()
+                    .filter(|gateway| !gateway.is_paused)
+                    .for_each(|gateway| gateway.last_handled_at = now);
             }
-            Action::Turn(number) => state.handle(number, Input::Tick { rank: Some(0) }),
-            Action::Deliver(letter) => {
-                state.in_flight.remove(&letter);
-                state.deliver(letter)?;
+            Action::HandleTick(number) => state.handle(number, Input::Tick { rank: Some(0) }),
+            Action::Deliver(message) => {
+                state.in_flight.remove(&message);
+                state.deliver(message)?;
             }
             Action::Pause(number) => {
                 state.gateways[number].is_paused = true;
@@ -184,27 +191,27 @@
             Action::Restart(number) => {
                 state.restarts += 1;
                 let election = self.election(state.now, number, state.restarts);
-                state.gateways[number] = Gateway { election, is_paused: false, turn: state.now };
+                state.gateways[number] = Gateway { election, is_paused: false, last_handled_at: state.now };
             }
         }
         Some(state)
     }
 
     fn within_boundary(&self, state: &ElectionState) -> bool {
-        let end = MonotonicTime::from_micros(BEGIN + self.ticks);
+        let end = MonotonicTime::from_micros(START_MICROS + self.ticks);
         let has_few_terms = state.gateways.iter().all(|gateway| gateway.election.highest_term() <= MAX_TERM);
         state.now <= end && state.in_flight.len() <= self.in_flight && has_few_terms
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one representative", |world: &ElectionWorld, state: &ElectionState| {
-                (0..CANDIDATES).filter(|number| world.acts(state, *number)).count() <= 1
+            Property::always("one representative", |model: &ElectionModel, state: &ElectionState| {
+                (0..CANDIDATES).filter(|number| model.acts_as_representative(state, *number)).count() <= 1
             }),
             Property::sometimes(
                 "the second one is elected",
-                |world: &ElectionWorld, state: &ElectionState| {
-                    world.acts(state, 1) && state.gateways[0].election.highest_term() > 0
+                |model: &ElectionModel, state: &ElectionState| {
+                    model.acts_as_representative(state, 1) && state.gateways[0].election.highest_term() > 0
                 },
             ),
         ]
@@ -212,59 +219,59 @@
 }
 
 /// Whether two represented the group at one time, and how many states were looked at.
-fn check_election(world: ElectionWorld) -> (bool, usize) {
-    let checker = world.checker().threads(2).spawn_bfs().join();
-    let found = checker.discovery("one representative").is_some();
-    if !found {
+fn check_election(model: ElectionModel) -> (bool, usize) {
+    let checker = model.checker().threads(2).spawn_bfs().join();
+    let is_violated = checker.discovery("one representative").is_some();
+    if !is_violated {
         checker.assert_any_discovery("the second one is elected");
     }
-    (found, checker.unique_state_count())
+    (is_violated, checker.unique_state_count())
 }
 
-const ELECTION: ElectionWorld = ElectionWorld {
-    timing: SOUND,
+const ELECTION: ElectionModel = ElectionModel {
+    timing: CORRECT_TIMING,
     ticks: 2,
-    uses_time_of_sleep: false,
+    uses_stale_clock: false,
     pauses: 0,
     restarts: 0,
     in_flight: 3,
 };
 
 #[test]
-fn two_never_represent_a_group_whatever_is_lost_late_paused_or_restarted() {
-    let longer = ElectionWorld { ticks: 4, in_flight: 2, ..ELECTION };
-    for world in [
-        ElectionWorld { pauses: 1, ..ELECTION },
-        ElectionWorld { restarts: 1, ..ELECTION },
-        ElectionWorld { pauses: 1, restarts: 1, ..longer },
+fn a_group_never_has_two_representatives_whatever_is_lost_late_paused_or_restarted() {
+    let longer_run = ElectionModel { ticks: 4, in_flight: 2, ..ELECTION };
+    for model in [
+        ElectionModel { pauses: 1, ..ELECTION },
+        ElectionModel { restarts: 1, ..ELECTION },
+        ElectionModel { pauses: 1, restarts: 1, ..longer_run },
     ] {
-        let (found, states) = check_election(world);
-        assert!(!found, "of {states} states");
+        let (is_violated, states) = check_election(model);
+        assert!(!is_violated, "of {states} states");
         assert!(states > 10_000, "only {states} states");
     }
 }
 
 #[test]
-fn a_lease_used_after_a_pause_is_found() {
-    assert!(check_election(ElectionWorld { uses_time_of_sleep: true, pauses: 1, ..ELECTION }).0);
+fn the_checker_finds_a_lease_used_after_a_pause() {
+    assert!(check_election(ElectionModel { uses_stale_clock: true, pauses: 1, ..ELECTION }).0);
 }
 
 #[test]
-fn a_grant_shorter_than_the_lease_is_found() {
-    let timing = ElectionTiming { grant_duration: TICK, ..SOUND };
-    assert!(check_election(ElectionWorld { timing, ..ELECTION }).0);
+fn the_checker_finds_a_grant_shorter_than_the_lease() {
+    let timing = ElectionTiming { grant_duration: TICK, ..CORRECT_TIMING };
+    assert!(check_election(ElectionModel { timing, ..ELECTION }).0);
 }
 
 #[test]
-fn a_voter_that_votes_as_soon_as_it_has_restarted_is_found() {
-    let timing = ElectionTiming { vote_delay: Duration::ZERO, ..SOUND };
-    assert!(check_election(ElectionWorld { timing, restarts: 1, ..ELECTION }).0);
+fn the_checker_finds_a_voter_that_votes_right_after_a_restart() {
+    let timing = ElectionTiming { vote_delay: Duration::ZERO, ..CORRECT_TIMING };
+    assert!(check_election(ElectionModel { timing, restarts: 1, ..ELECTION }).0);
 }
 
 /// A site of two gateways: the first represents it, is paused or killed, and the second represents it with one dead.
 /// Then the second may die too. Their reports come late and in any order.
 #[derive(Clone)]
-struct ReportWorld {
+struct ReportModel {
     timeout: Duration,
     /// Whether reports are taken by their sequence alone.
     ignores_term: bool,
@@ -287,8 +294,8 @@
     sent: [u32; 2],
     site_is_dead: bool,
     /// Whether a report of the second one has been taken, and when the last report came.
-    second_was_taken: bool,
-    last_came_at: MonotonicTime,
+    second_was_received: bool,
+    last_received_at: MonotonicTime,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -302,8 +309,8 @@
 
 const SITE_SIZE: u16 = 2;
 /// Live gateways as each of the two counts them.
-const FIRST_COUNTS: u16 = 2;
-const SECOND_COUNTS: u16 = 1;
+const FIRST_LIVE_COUNT: u16 = 2;
+const SECOND_LIVE_COUNT: u16 = 1;
 
 impl ReportState {
     fn count(&self) -> Count {
@@ -311,19 +318,19 @@
     }
 }
 
-impl Model for ReportWorld {
+impl Model for ReportModel {
     type State = ReportState;
     type Action = ReportAction;
 
     fn init_states(&self) -> Vec<ReportState> {
         vec![ReportState {
-            now: MonotonicTime::from_micros(BEGIN),
+            now: MonotonicTime::from_micros(START_MICROS),
             reports: Reports::new(1, self.timeout),
             in_flight: BTreeSet::new(),
             sent: [0, 0],
             site_is_dead: false,
-            second_was_taken: false,
-            last_came_at: MonotonicTime::MIN,
+            second_was_received: false,
+            last_received_at: MonotonicTime::MIN,
         }]
     }
 
@@ -349,12 +356,12 @@
             ReportAction::FirstSends => {
                 state.sent[0] += 1;
                 let sequence = state.sent[0];
-                state.in_flight.insert(SentReport { term: 1, sequence, live: FIRST_COUNTS });
+                state.in_flight.insert(SentReport { term: 1, sequence, live: FIRST_LIVE_COUNT });
             }
             ReportAction::SecondSends => {
                 state.sent[1] += 1;
                 let sequence = state.sent[1];
-                state.in_flight.insert(SentReport { term: 2, sequence, live: SECOND_COUNTS });
+                state.in_flight.insert(SentReport { term: 2, sequence, live: SECOND_LIVE_COUNT });
             }
             ReportAction::Deliver(report) => {
                 state.in_flight.remove(&report);
@@ -363,28 +370,28 @@
                 let version = Version { term, sequence: report.sequence };
                 let count = Count { live: report.live, unknown: 0 };
                 state.reports.receive(state.now, 0, author, version, count);
-                state.second_was_taken |= report.term == 2;
-                state.last_came_at = state.now;
+                state.second_was_received |= report.term == 2;
+                state.last_received_at = state.now;
             }
         }
         Some(state)
     }
 
     fn within_boundary(&self, state: &ReportState) -> bool {
-        state.now <= MonotonicTime::from_micros(BEGIN + self.ticks)
+        state.now <= MonotonicTime::from_micros(START_MICROS + self.ticks)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a death once known stays known", |_: &ReportWorld, state: &ReportState| {
-                !state.second_was_taken || state.count().live <= SECOND_COUNTS
+            Property::always("a death once known stays known", |_: &ReportModel, state: &ReportState| {
+                !state.second_was_received || state.count().live <= SECOND_LIVE_COUNT
             }),
-            Property::always("a silent site is unknown", |_: &ReportWorld, state: &ReportState| {
-                let is_silent = state.now >= state.last_came_at + REPORT_TIMEOUT;
+            Property::always("a silent site is unknown", |_: &ReportModel, state: &ReportState| {
+                let is_silent = state.now >= state.last_received_at + REPORT_TIMEOUT;
                 !is_silent || state.count() == Count::unknown(SITE_SIZE)
             }),
-            Property::sometimes("the second one counts", |_: &ReportWorld, state: &ReportState| {
-                state.count().live == SECOND_COUNTS && state.sent[0] > 0
+            Property::sometimes("the second one counts", |_: &ReportModel, state: &ReportState| {
+                state.count().live == SECOND_LIVE_COUNT && state.sent[0] > 0
             }),
         ]
     }
@@ -392,29 +399,29 @@
 
 /// The timeout that the invariant asks for; a world may have another.
 const REPORT_TIMEOUT: Duration = Duration::from_micros(2);
-const REPORTS: ReportWorld = ReportWorld { timeout: REPORT_TIMEOUT, ignores_term: false, ticks: 4 };
+const REPORTS: ReportModel = ReportModel { timeout: REPORT_TIMEOUT, ignores_term: false, ticks: 4 };
 
-fn check_reports(world: ReportWorld, property: &'static str) -> bool {
-    let checker = world.checker().threads(2).spawn_bfs().join();
+fn check_reports(model: ReportModel, property: &'static str) -> bool {
+    let checker = model.checker().threads(2).spawn_bfs().join();
     checker.assert_any_discovery("the second one counts");
     checker.discovery(property).is_some()
 }
 
 #[test]
-fn reports_of_an_earlier_representative_and_of_a_silent_site_never_count() {
+fn reports_of_an_earlier_representative_or_a_silent_site_are_never_used() {
     for property in ["a death once known stays known", "a silent site is unknown"] {
         assert!(!check_reports(REPORTS, property), "{property}");
     }
 }
 
 #[test]
-fn numbers_taken_without_their_term_are_found() {
-    let world = ReportWorld { ignores_term: true, ..REPORTS };
-    assert!(check_reports(world, "a death once known stays known"));
+fn the_checker_finds_counts_accepted_without_regard_to_the_term() {
+    let model = ReportModel { ignores_term: true, ..REPORTS };
+    assert!(check_reports(model, "a death once known stays known"));
 }
 
 #[test]
-fn a_dead_site_counted_for_ever_is_found() {
-    let world = ReportWorld { timeout: Duration::from_secs(1), ..REPORTS };
-    assert!(check_reports(world, "a silent site is unknown"));
+fn the_checker_finds_a_dead_site_that_is_counted_forever() {
+    let model = ReportModel { timeout: Duration::from_secs(1), ..REPORTS };
+    assert!(check_reports(model, "a silent site is unknown"));
 }
--- a/crates/cluster/tests/verdicts.rs
+++ b/crates/cluster/tests/verdicts.rs
@@ -10,29 +10,29 @@
 const MEMBERS: usize = 1_000;
 const OBSERVER: u16 = 3;
 /// A member that answers nobody, and those that suspect it.
-const SILENT: u16 = 500;
+const SILENT_MEMBER: u16 = 500;
 const SUSPECTORS: [u16; 2] = [10, 11];
 /// Time between two beats.
-const BEAT: Duration = Duration::from_millis(200);
+const BEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// When it is suspected, and the last time at which it is known to have lived.
 const SUSPECTED_AT: MonotonicTime = MonotonicTime::from_micros(START.as_micros() + 4_000_000);
 const LAST_BEAT_AT: MonotonicTime = MonotonicTime::from_micros(START.as_micros() + 3_000_000);
 /// Who tells of all others' beats.
-const REFRESHER: u16 = 30;
+const REFRESHING_MEMBER: u16 = 30;
 /// Time since the beats that others know of.
-const FRESH: Duration = Duration::from_millis(400);
+const REFRESHED_BEAT_AGE: Duration = Duration::from_millis(400);
 
 /// What other gateways claim of the silent member in their acks, once it is suspected.
 #[derive(Clone, Copy, PartialEq)]
-enum Others {
+enum PeerClaims {
     /// Nothing: they know of no suspicion yet.
-    SayNothing,
+    NoClaim,
     /// Its last beat that they know of, which is no later than the one known here.
-    KnowNothingLater,
+    NoLaterBeat,
 }
 
 fn heartbeat_at(at: MonotonicTime) -> Heartbeat {
-    let beat = ((duration_micros(at - START) / duration_micros(BEAT)) as u16) & BEAT_MASK;
+    let beat = ((duration_micros(at - START) / duration_micros(BEAT_INTERVAL)) as u16) & BEAT_MASK;
     Heartbeat { incarnation: 1, beat, left: false }
 }
 
@@ -41,69 +41,69 @@
     now: MonotonicTime,
     from: u16,
     gossip: &Gossip,
-    out: &mut Vec<Output>,
+    outputs: &mut Vec<Output>,
 ) {
-    observer.handle(now, Input::Received { kind: MessageKind::Ack, from, body: &gossip.encode() }, out);
+    observer.handle(now, Input::Received { kind: MessageKind::Ack, from, body: &gossip.encode() }, outputs);
 }
 
-fn ack(
+fn receive_ack_with_claims(
     observer: &mut FailureDetector,
     now: MonotonicTime,
     from: u16,
     claims: Vec<MemberClaim>,
-    out: &mut Vec<Output>,
+    outputs: &mut Vec<Output>,
 ) {
     let gossip = Gossip { own: heartbeat_at(now), claims, ..Gossip::default() };
-    receive_ack(observer, now, from, &gossip, out);
+    receive_ack(observer, now, from, &gossip, outputs);
 }
 
 /// Beats of late from all members but the silent one: nobody else is to be looked for.
-fn refresh(observer: &mut FailureDetector, now: MonotonicTime, out: &mut Vec<Output>) {
+fn refresh_other_members(observer: &mut FailureDetector, now: MonotonicTime, outputs: &mut Vec<Output>) {
     let capacity = Gossip::window_capacity(0);
-    let heartbeat = |member: usize| match member == usize::from(SILENT) {
+    let heartbeat = |member: usize| match member == usize::from(SILENT_MEMBER) {
         true => Heartbeat::default(),
-        false => heartbeat_at(now - FRESH),
+        false => heartbeat_at(now - REFRESHED_BEAT_AGE),
     };
     for first in (0..MEMBERS).step_by(capacity) {
         let window = (first..(first + capacity).min(MEMBERS)).map(heartbeat).collect();
         let gossip =
             Gossip { own: heartbeat_at(now), window_start: first as u16, window, ..Gossip::default() };
-        receive_ack(observer, now, REFRESHER, &gossip, out);
+        receive_ack(observer, now, REFRESHING_MEMBER, &gossip, outputs);
     }
 }
 
 /// All pings but those to the silent one are answered, for so long. Returns the changes of the silent member's state
 /// with their times.
-fn play(
+fn simulate(
     observer: &mut FailureDetector,
     from: MonotonicTime,
     until: MonotonicTime,
-    others: Others,
+    peer_claims: PeerClaims,
 ) -> Vec<(MonotonicTime, MemberState)> {
     let mut changes = Vec::new();
-    let mut now = from.max(START + FRESH);
+    let mut now = from.max(START + REFRESHED_BEAT_AGE);
     while now < until {
-        let mut out = Vec::new();
-        refresh(observer, now, &mut out);
-        observer.handle(now, Input::Tick, &mut out);
-        let pinged: Vec<u16> = out
+        let mut outputs = Vec::new();
+        refresh_other_members(observer, now, &mut outputs);
+        observer.handle(now, Input::Tick, &mut outputs);
+        let pinged: Vec<u16> = outputs
             .iter()
             .filter_map(|output| match output {
-                Output::Send { to, kind: MessageKind::Ping, .. } if *to != SILENT => Some(*to),
+                Output::Send { to, kind: MessageKind::Ping, .. } if *to != SILENT_MEMBER => Some(*to),
                 _ => None,
             })
             .collect();
         for member in pinged {
-            let known = MemberClaim {
-                member: SILENT,
+            let unsuspected = MemberClaim {
+                member: SILENT_MEMBER,
                 heartbeat: heartbeat_at(LAST_BEAT_AT),
                 state: ClaimedState::Unsuspected,
             };
-            let claims = if others == Others::KnowNothingLater { vec![known] } else { vec![] };
-            ack(observer, now + Duration::from_millis(1), member, claims, &mut out);
+            let claims = if peer_claims == PeerClaims::NoLaterBeat { vec![unsuspected] } else { vec![] };
+            receive_ack_with_claims(observer, now + Duration::from_millis(1), member, claims, &mut outputs);
         }
-        changes.extend(out.iter().filter_map(|output| match output {
-            Output::StateChanged { member: SILENT, state } => Some((now, *state)),
+        changes.extend(outputs.iter().filter_map(|output| match output {
+            Output::StateChanged { member: SILENT_MEMBER, state } => Some((now, *state)),
             _ => None,
         }));
         now = observer.next_due().max(now + Duration::from_millis(2));
@@ -114,22 +114,22 @@
 /// An observer to which two others have claimed to suspect the silent member.
 fn suspecting_observer() -> FailureDetector {
     let mut observer = FailureDetector::new(START, FleetFile::default(), OBSERVER, MEMBERS, 7);
-    let changes = play(&mut observer, START, LAST_BEAT_AT, Others::SayNothing);
+    let changes = simulate(&mut observer, START, LAST_BEAT_AT, PeerClaims::NoClaim);
     assert_eq!(changes, []);
     let alive = MemberClaim {
-        member: SILENT,
+        member: SILENT_MEMBER,
         heartbeat: heartbeat_at(LAST_BEAT_AT),
         state: ClaimedState::Unsuspected,
     };
-    ack(&mut observer, LAST_BEAT_AT, SUSPECTORS[0], vec![alive], &mut Vec::new());
-    play(&mut observer, LAST_BEAT_AT, SUSPECTED_AT, Others::SayNothing);
+    receive_ack_with_claims(&mut observer, LAST_BEAT_AT, SUSPECTORS[0], vec![alive], &mut Vec::new());
+    simulate(&mut observer, LAST_BEAT_AT, SUSPECTED_AT, PeerClaims::NoClaim);
     for suspector in SUSPECTORS {
         let suspected = MemberClaim {
-            member: SILENT,
+            member: SILENT_MEMBER,
             heartbeat: heartbeat_at(LAST_BEAT_AT),
             state: ClaimedState::SuspectedFor(1),
         };
-        ack(&mut observer, SUSPECTED_AT, suspector, vec![suspected], &mut Vec::new());
+        receive_ack_with_claims(&mut observer, SUSPECTED_AT, suspector, vec![suspected], &mut Vec::new());
     }
     observer
 }
@@ -137,25 +137,29 @@
 /// The order that removed living members of a tier of 1,000: two suspect a member that receives nothing, the observer's
 /// own pings stay without an answer, and a later beat, which others know of, comes here only after that.
 #[test]
-fn in_a_large_tier_a_member_is_not_dead_before_others_say_that_they_know_of_nothing_later() {
+fn in_a_large_tier_a_member_is_not_declared_dead_without_confirmations() {
     let mut observer = suspecting_observer();
     let late = SUSPECTED_AT + Duration::from_secs(8);
-    assert_eq!(play(&mut observer, SUSPECTED_AT, late, Others::SayNothing), []);
+    assert_eq!(simulate(&mut observer, SUSPECTED_AT, late, PeerClaims::NoClaim), []);
     let beat = MemberClaim {
-        member: SILENT,
+        member: SILENT_MEMBER,
         heartbeat: heartbeat_at(late - Duration::from_millis(500)),
         state: ClaimedState::Unsuspected,
     };
-    ack(&mut observer, late, 20, vec![beat], &mut Vec::new());
-    assert_eq!(play(&mut observer, late, late + Duration::from_secs(3), Others::KnowNothingLater), []);
-    assert!(observer.is_alive(SILENT));
+    receive_ack_with_claims(&mut observer, late, 20, vec![beat], &mut Vec::new());
+    assert_eq!(simulate(&mut observer, late, late + Duration::from_secs(3), PeerClaims::NoLaterBeat), []);
+    assert!(observer.is_alive(SILENT_MEMBER));
 }
 
 /// And one of whom nobody knows anything later is dead within the time that asking takes.
 #[test]
-fn in_a_large_tier_a_member_of_whom_nobody_knows_anything_later_is_dead() {
+fn in_a_large_tier_a_member_is_declared_dead_with_confirmations() {
     let mut observer = suspecting_observer();
-    let changes =
-        play(&mut observer, SUSPECTED_AT, SUSPECTED_AT + Duration::from_secs(12), Others::KnowNothingLater);
+    let changes = simulate(
+        &mut observer,
+        SUSPECTED_AT,
+        SUSPECTED_AT + Duration::from_secs(12),
+        PeerClaims::NoLaterBeat,
+    );
     assert!(matches!(changes[..], [(_, MemberState::Dead)]), "{changes:?}");
 }
--- a/crates/load-sharing/src/wire/tests.rs
+++ b/crates/load-sharing/src/wire/tests.rs
@@ -1,19 +1,20 @@
 use super::*;
 
 #[test]
-fn a_datagram_is_read_as_written_and_nothing_else_is() {
-    let entries = (0..MAX_ENTRIES).map(|i| StoreLoad { load: i as f64 / 64.0, weight: 2.5 }).collect();
+fn a_summary_is_decoded_as_it_was_encoded_and_malformed_ones_are_rejected() {
+    let entries =
+        (0..MAX_ENTRIES).map(|index| StoreLoad { load: index as f64 / 64.0, weight: 2.5 }).collect();
     let summary = LoadSummary { zone: 3, list_digest: 0xdead_beef, first_index: 61, entries };
     let bytes = summary.encode();
     assert!(bytes.len() <= MAX_BODY_BYTES);
     assert_eq!(LoadSummary::decode(&bytes), Some(summary.clone()));
-    for cut in 0..bytes.len() {
-        assert_eq!(LoadSummary::decode(&bytes[..cut]), None, "{cut}");
+    for length in 0..bytes.len() {
+        assert_eq!(LoadSummary::decode(&bytes[..length]), None, "{length}");
     }
-    for (at, value) in [(0, b'x'), (2, 2), (11, 62)] {
-        let mut bad = bytes.clone();
-        bad[at] = value;
-        assert_eq!(LoadSummary::decode(&bad), None, "byte {at}");
+    for (offset, value) in [(0, b'x'), (2, 2), (11, 62)] {
+        let mut corrupt = bytes.clone();
+        corrupt[offset] = value;
+        assert_eq!(LoadSummary::decode(&corrupt), None, "byte {offset}");
     }
     assert_eq!(LoadSummary::decode(&[bytes, vec![0; 4]].concat()), None);
 }
--- a/crates/load-sharing/tests/histories.rs
+++ b/crates/load-sharing/tests/histories.rs
@@ -23,7 +23,7 @@
     let load = prop_oneof![6 => 0.0..1.5f64, 1 => Just(f64::NAN), 1 => Just(-3.0), 1 => Just(1e300)];
     let step = prop_oneof![
         1 => proptest::collection::vec(0..200u64, 0..150).prop_map(Step::Stores),
-        8 => (0..200u64, load).prop_map(|(s, l)| Step::Report(s, l)),
+        8 => (0..200u64, load).prop_map(|(store, load)| Step::Report(store, load)),
         2 => proptest::collection::vec(any::<u8>(), 0..300).prop_map(Step::Datagram),
         2 => (0..256usize, any::<u8>()).prop_map(|(at, byte)| Step::Corrupted(at, byte)),
         6 => (0..700u64).prop_map(Step::Wait),
@@ -39,65 +39,65 @@
         let settings = SpreadFile { probes_per_s: 9.0, ..SpreadFile::default() };
         let position = TierPosition { own_index: 2, gateways: 5 };
         let mut load_sharing = LoadSharing::new(at_ms(1), settings, 1, position, 7);
-        let (mut now, mut listed, mut last) = (at_ms(1), Vec::new(), Vec::new());
+        let (mut now, mut listed_stores, mut last_datagram) = (at_ms(1), Vec::new(), Vec::new());
         for step in steps {
-            let mut out = Vec::new();
+            let mut outputs = Vec::new();
             match step {
                 Step::Stores(stores) => {
-                    listed = stores.clone();
-                    load_sharing.handle(now, Input::StoresChanged { stores, quota_divisor: 5 }, &mut out);
+                    listed_stores = stores.clone();
+                    load_sharing.handle(now, Input::StoresChanged { stores, quota_divisor: 5 }, &mut outputs);
                 }
-                Step::Report(store, load) => load_sharing.handle(now, Input::LoadReport { store, load }, &mut out),
-                Step::Datagram(bytes) => load_sharing.handle(now, Input::Datagram(&bytes), &mut out),
+                Step::Report(store, load) => load_sharing.handle(now, Input::LoadReport { store, load }, &mut outputs),
+                Step::Datagram(bytes) => load_sharing.handle(now, Input::Datagram(&bytes), &mut outputs),
                 // A datagram of its own, corrupted on the way.
                 Step::Corrupted(at, byte) => {
-                    let mut bytes: Vec<u8> = last.clone();
-                    if let Some(old) = bytes.get_mut(at) {
-                        *old = byte;
+                    let mut bytes: Vec<u8> = last_datagram.clone();
+                    if let Some(original_byte) = bytes.get_mut(at) {
+                        *original_byte = byte;
                     }
-                    load_sharing.handle(now, Input::Datagram(&bytes), &mut out);
+                    load_sharing.handle(now, Input::Datagram(&bytes), &mut outputs);
                 }
                 Step::Wait(ms) => {
                     now += Duration::from_millis(ms);
-                    load_sharing.handle(now, Input::Tick, &mut out);
+                    load_sharing.handle(now, Input::Tick, &mut outputs);
                     prop_assert!(load_sharing.next_due() > now, "invariant 5: it is due again at once");
                 }
             }
-            for output in out {
+            for output in outputs {
                 match output {
                     Output::Send { peer, body } => {
                         prop_assert!(body.len() <= wire::MAX_BODY_BYTES, "invariant 1");
                         prop_assert!(peer < 5 && peer != 2, "invariant 1: it tells itself");
-                        last = body;
+                        last_datagram = body;
                     }
                     Output::SampleLoad(store) => {
-                        prop_assert!(listed.contains(&store), "invariant 6: a store that is not listed");
+                        prop_assert!(listed_stores.contains(&store), "invariant 6: a store that is not listed");
                     }
                     Output::OffloadShares(shares) => for OffloadShare { store, share } in shares {
-                        prop_assert!(listed.contains(&store), "invariant 2: a store that is not listed");
+                        prop_assert!(listed_stores.contains(&store), "invariant 2: a store that is not listed");
                         prop_assert!(share > 0.0 && share <= 0.6, "invariant 2: {share}");
                     },
                 }
             }
             let status = load_sharing.status(now);
-            prop_assert!(status.stores.iter().all(|s| s.load.is_finite() && (0.0..=100.0).contains(&s.load)));
+            prop_assert!(status.stores.iter().all(|store| store.load.is_finite() && (0.0..=100.0).contains(&store.load)));
         }
     }
 }
 
 /// The loads of stores with uneven shares of objects after a simulated fleet has run; each gateway receives a report of
 /// a store about once in three seconds.
-fn loads_after(gateways: usize, lost: f64, seconds: u64) -> Vec<f64> {
+fn simulated_loads(gateways: usize, loss: f64, seconds: u64) -> Vec<f64> {
     let demand: [f64; 12] = [1.6, 0.7, 1.0, 1.3, 0.8, 0.6, 1.1, 0.9, 1.4, 0.75, 0.85, 1.0];
-    let stores: Vec<u64> = (0..12).map(|s| 1000 + s).collect();
+    let stores: Vec<u64> = (0..12).map(|store| 1000 + store).collect();
     let mut fleet: Vec<LoadSharing> = (0..gateways)
-        .map(|me| {
+        .map(|own_index| {
             let mut load_sharing = LoadSharing::new(
                 MonotonicTime::MIN,
                 SpreadFile::default(),
                 0,
-                TierPosition { own_index: me, gateways },
-                77 + me as u64,
+                TierPosition { own_index, gateways },
+                77 + own_index as u64,
             );
             load_sharing.handle(
                 MonotonicTime::MIN,
@@ -109,37 +109,45 @@
         .collect();
     let mut shares_by_gateway = vec![vec![0.0; 12]; gateways];
     let mut loads = demand.to_vec();
-    let mut draws = 0u64;
-    let mut draw = || {
-        draws += 1;
-        unit(mix(draws ^ 0xfeed))
+    let mut random_draws = 0u64;
+    let mut random_fraction = || {
+        random_draws += 1;
+        unit(mix(random_draws ^ 0xfeed))
     };
     for step in 0..seconds * 10 {
         let now = at_ms(step * 100);
         // What a store offloads is divided evenly among all stores.
-        let retained =
-            |s: usize| 1.0 - shares_by_gateway.iter().map(|shares| shares[s]).sum::<f64>() / gateways as f64;
-        let offloaded: f64 = (0..12).map(|s| demand[s] * (1.0 - retained(s))).sum();
-        loads = (0..12).map(|s| demand[s] * retained(s) + offloaded / 12.0).collect();
-        for g in 0..gateways {
-            let mut out = Vec::new();
-            for (s, load) in loads.iter().enumerate() {
-                if draw() < 0.033 {
-                    let noisy = 0.5 * load * (1.0 + 0.3 * (draw() - 0.5));
-                    fleet[g].handle(now, Input::LoadReport { store: stores[s], load: noisy }, &mut out);
+        let retained = |store_index: usize| {
+            1.0 - shares_by_gateway.iter().map(|shares| shares[store_index]).sum::<f64>() / gateways as f64
+        };
+        let offloaded: f64 =
+            (0..12).map(|store_index| demand[store_index] * (1.0 - retained(store_index))).sum();
+        loads = (0..12)
+            .map(|store_index| demand[store_index] * retained(store_index) + offloaded / 12.0)
+            .collect();
+        for gateway in 0..gateways {
+            let mut outputs = Vec::new();
+            for (store_index, load) in loads.iter().enumerate() {
+                if random_fraction() < 0.033 {
+                    let noisy = 0.5 * load * (1.0 + 0.3 * (random_fraction() - 0.5));
+                    fleet[gateway].handle(
+                        now,
+                        Input::LoadReport { store: stores[store_index], load: noisy },
+                        &mut outputs,
+                    );
                 }
             }
-            fleet[g].handle(now, Input::Tick, &mut out);
-            for output in out {
+            fleet[gateway].handle(now, Input::Tick, &mut outputs);
+            for output in outputs {
                 match output {
-                    Output::Send { peer, body } if draw() >= lost => {
+                    Output::Send { peer, body } if random_fraction() >= loss => {
                         fleet[peer].handle(now, Input::Datagram(&body), &mut Vec::new());
                     }
                     Output::Send { .. } | Output::SampleLoad(_) => {}
                     Output::OffloadShares(shares) => {
-                        shares_by_gateway[g] = vec![0.0; 12];
+                        shares_by_gateway[gateway] = vec![0.0; 12];
                         for OffloadShare { store, share } in shares {
-                            shares_by_gateway[g][store as usize - 1000] = share;
+                            shares_by_gateway[gateway][store as usize - 1000] = share;
                         }
                     }
                 }
@@ -151,12 +159,15 @@
 
 #[test]
 fn a_fleet_of_any_size_settles_at_an_even_load_also_with_datagrams_lost() {
-    for (gateways, lost, bound) in [(200, 0.2, 1.08), (20, 0.2, 1.08), (20, 1.0, 1.1), (200, 1.0, 1.1)] {
-        let loads = loads_after(gateways, lost, 40);
+    for (gateways, loss, max_ratio) in [(200, 0.2, 1.08), (20, 0.2, 1.08), (20, 1.0, 1.1), (200, 1.0, 1.1)] {
+        let loads = simulated_loads(gateways, loss, 40);
         let mean = loads.iter().sum::<f64>() / 12.0;
-        let most = loads.iter().copied().fold(0.0, f64::max) / mean;
-        let least = loads.iter().copied().fold(9.0, f64::min) / mean;
-        assert!(most < bound && least > 0.75, "{gateways} gateways, {lost} lost: {most:.3}, {least:.3}");
+        let highest = loads.iter().copied().fold(0.0, f64::max) / mean;
+        let lowest = loads.iter().copied().fold(9.0, f64::min) / mean;
+        assert!(
+            highest < max_ratio && lowest > 0.75,
+            "{gateways} gateways, {loss} lost: {highest:.3}, {lowest:.3}"
+        );
     }
 }
 
@@ -187,24 +198,24 @@
         &mut Vec::new(),
     );
     let mut offload_share = 0.0;
-    for now in (1..140).map(|n| at_ms(n * 500)) {
-        let mut out = Vec::new();
+    for now in (1..140).map(|index| at_ms(index * 500)) {
+        let mut outputs = Vec::new();
         if now < at_ms(10_000) {
             for (store, load) in [(1, 0.9), (2, 0.3), (3, 0.3)] {
-                load_sharing.handle(now, Input::LoadReport { store, load }, &mut out);
+                load_sharing.handle(now, Input::LoadReport { store, load }, &mut outputs);
                 other.handle(now, Input::LoadReport { store, load: 0.5 }, &mut Vec::new());
             }
         }
-        other.handle(now, Input::Tick, &mut out);
-        let summaries: Vec<Vec<u8>> = out
+        other.handle(now, Input::Tick, &mut outputs);
+        let summaries: Vec<Vec<u8>> = outputs
             .drain(..)
-            .filter_map(|o| if let Output::Send { body, .. } = o { Some(body) } else { None })
+            .filter_map(|output| if let Output::Send { body, .. } = output { Some(body) } else { None })
             .collect();
-        summaries.iter().for_each(|bytes| load_sharing.handle(now, Input::Datagram(bytes), &mut out));
-        load_sharing.handle(now, Input::Tick, &mut out);
-        for output in out {
+        summaries.iter().for_each(|bytes| load_sharing.handle(now, Input::Datagram(bytes), &mut outputs));
+        load_sharing.handle(now, Input::Tick, &mut outputs);
+        for output in outputs {
             if let Output::OffloadShares(shares) = output {
-                offload_share = shares.iter().find(|s| s.store == 1).map_or(0.0, |s| s.share);
+                offload_share = shares.iter().find(|share| share.store == 1).map_or(0.0, |share| share.share);
             }
         }
         if now == at_ms(9_500) {
@@ -223,26 +234,26 @@
     for gateways in [1usize, 20, 300] {
         let settings = SpreadFile { probes_per_s: 2.0, ..SpreadFile::default() };
         let mut samples = [0u64; 2];
-        for me in 0..gateways {
+        for own_index in 0..gateways {
             let mut load_sharing = LoadSharing::new(
                 MonotonicTime::MIN,
                 settings.clone(),
                 0,
-                TierPosition { own_index: me, gateways },
-                5 + me as u64,
+                TierPosition { own_index, gateways },
+                5 + own_index as u64,
             );
             load_sharing.handle(
                 MonotonicTime::MIN,
                 Input::StoresChanged { stores: vec![1, 2], quota_divisor: gateways as u64 },
                 &mut Vec::new(),
             );
-            for now in (0..100).map(|n| at_ms(n * 500)) {
-                let mut out = Vec::new();
+            for now in (0..100).map(|index| at_ms(index * 500)) {
+                let mut outputs = Vec::new();
                 (0..4).for_each(|_| {
-                    load_sharing.handle(now, Input::LoadReport { store: 2, load: 0.5 }, &mut out);
+                    load_sharing.handle(now, Input::LoadReport { store: 2, load: 0.5 }, &mut outputs);
                 });
-                load_sharing.handle(now, Input::Tick, &mut out);
-                for output in out {
+                load_sharing.handle(now, Input::Tick, &mut outputs);
+                for output in outputs {
                     if let Output::SampleLoad(store) = output {
                         samples[store as usize - 1] += 1;
                     }
