--- a/crates/cluster/src/failure_detector/random.rs
+++ b/crates/cluster/src/failure_detector/random.rs
@@ -8,18 +8,18 @@
 #[derive(Debug)]
 pub(super) struct Random {
     seed: u64,
-    drawn: u64,
+    draw_count: u64,
 }
 
 impl Random {
     pub(super) fn new(seed: u64) -> Self {
-        Random { seed, drawn: 0 }
+        Random { seed, draw_count: 0 }
     }
 
     /// A number from 0 to `bound`, exclusive; 0 if `bound` is 0.
     pub(super) fn below(&mut self, bound: usize) -> usize {
-        self.drawn += 1;
-        let number = mix(mix(self.seed) ^ self.drawn.wrapping_mul(COUNT_MULTIPLIER));
+        self.draw_count += 1;
+        let number = mix(mix(self.seed) ^ self.draw_count.wrapping_mul(COUNT_MULTIPLIER));
         (number % bound.max(1) as u64) as usize
     }
 
--- a/crates/cluster/src/tiers.rs
+++ b/crates/cluster/src/tiers.rs
@@ -104,7 +104,7 @@
     /// The number of this gateway's group in each tier.
     own_groups: [u16; TIERS],
     /// The index of that group among its siblings, in each tier.
-    own_places: [usize; TIERS],
+    own_indices: [usize; TIERS],
     /// The failure detector of this gateway's site; its member numbers are indices within the site.
     detector: FailureDetector,
     is_isolated: bool,
@@ -148,22 +148,22 @@
         let region = topology.group_of(Tier::Region, own_member)?;
         let own_groups = [site, zone, region];
         let siblings = Tier::ALL.map(|tier| topology.siblings(tier, own_groups[tier.index()]));
-        let place_of = |tier: Tier| {
+        let index_of_group = |tier: Tier| {
             let own = own_groups[tier.index()];
             siblings[tier.index()].iter().position(|group| *group == own).unwrap_or(0)
         };
         let members = topology.children(Tier::Site, site);
         let own_index = members.iter().position(|member| *member == own_member)?;
         let elections = Tier::ALL.map(|tier| {
-            let place = tier.below().map_or(own_index, place_of);
-            new_election(now, &topology, tier, own_groups[tier.index()], (own_member, place), seed)
+            let voter_index = tier.below().map_or(own_index, index_of_group);
+            new_election(now, &topology, tier, own_groups[tier.index()], (own_member, voter_index), seed)
         });
         let sizes =
             |tier: Tier| siblings[tier.index()].iter().map(|group| topology.size(tier, *group)).collect();
         Some(TieredMembership {
             own_member,
             own_groups,
-            own_places: Tier::ALL.map(place_of),
+            own_indices: Tier::ALL.map(index_of_group),
             detector: FailureDetector::new(now, settings, own_index as u16, members.len(), seed),
             is_isolated: false,
             is_leaving: false,
--- a/crates/cluster/src/tiers/contacts.rs
+++ b/crates/cluster/src/tiers/contacts.rs
@@ -26,8 +26,8 @@
 
     /// Records that a member represents the group at this index, by its own message or because another gateway named
     /// it. Returns whether no representative or a different one was known before.
-    pub(super) fn record(&mut self, now: MonotonicTime, place: usize, member: u16) -> bool {
-        let Some(contact) = self.contacts.get_mut(place) else { return false };
+    pub(super) fn record(&mut self, now: MonotonicTime, group_index: usize, member: u16) -> bool {
+        let Some(contact) = self.contacts.get_mut(group_index) else { return false };
         let before = contact.replace(Contact { member, received_at: now });
         before.is_none_or(|before| before.member != member)
     }
@@ -38,10 +38,10 @@
         &mut self,
         now: MonotonicTime,
         topology: &Topology,
-        place: usize,
+        group_index: usize,
         group: u16,
     ) -> u16 {
-        match self.contacts.get(place).copied().flatten() {
+        match self.contacts.get(group_index).copied().flatten() {
             Some(contact) if now < contact.received_at + CONTACT_TIMEOUT => contact.member,
             _ => {
                 self.random_state = mix(self.random_state);
--- a/crates/cluster/src/tiers/numbers.rs
+++ b/crates/cluster/src/tiers/numbers.rs
@@ -9,18 +9,18 @@
 
 impl TieredMembership {
     /// The count of the sibling group at an index, as this gateway knows it; may be its own group.
-    pub fn count(&self, now: MonotonicTime, tier: Tier, place: usize) -> Count {
-        if tier == Tier::Site && place == self.own_places[Tier::Site.index()] {
+    pub fn count(&self, now: MonotonicTime, tier: Tier, group_index: usize) -> Count {
+        if tier == Tier::Site && group_index == self.own_indices[Tier::Site.index()] {
             return self.site_count();
         }
-        self.tables[tier.index()].count(now, place)
+        self.tables[tier.index()].count(now, group_index)
     }
 
     /// The count of the whole fleet, as this gateway knows it.
     pub fn fleet_count(&self, now: MonotonicTime) -> Count {
         let mut sum = Count::default();
-        for place in 0..self.topology.regions().len() {
-            sum += self.count(now, Tier::Region, place);
+        for group_index in 0..self.topology.regions().len() {
+            sum += self.count(now, Tier::Region, group_index);
         }
         sum
     }
@@ -40,24 +40,24 @@
 
     /// The counts of this gateway's group and its siblings; valid at the representative that publishes them.
     fn sibling_counts(&self, now: MonotonicTime, tier: Tier) -> Vec<Count> {
-        let own_place = self.own_places[tier.index()];
+        let own_index = self.own_indices[tier.index()];
         let siblings = self.topology.siblings(tier, self.own_groups[tier.index()]);
-        let count = |(place, group): (usize, &u16)| {
-            if place == own_place {
+        let count = |(group_index, group): (usize, &u16)| {
+            if group_index == own_index {
                 return self.own_count(now, tier);
             }
             let size = self.topology.size(tier, *group);
-            self.reports[tier.index()].count(now, place, size)
+            self.reports[tier.index()].count(now, group_index, size)
         };
         siblings.iter().enumerate().map(count).collect()
     }
 
     /// Updates the tables whose author is a group that this gateway represents.
     pub(super) fn publish_tables(&mut self, now: MonotonicTime) {
-        for listed in Tier::ALL {
-            if let Some(term) = self.represents(now, author_tier(listed)) {
-                let counts = self.sibling_counts(now, listed);
-                self.tables[listed.index()].publish(now, self.own_member, term, counts);
+        for listed_tier in Tier::ALL {
+            if let Some(term) = self.represents(now, author_tier(listed_tier)) {
+                let counts = self.sibling_counts(now, listed_tier);
+                self.tables[listed_tier.index()].publish(now, self.own_member, term, counts);
             }
         }
     }
@@ -97,17 +97,17 @@
         if self.represents(now, Tier::Site).is_none() {
             return;
         }
-        for listed in Tier::ALL {
-            let Some(table) = self.tables[listed.index()].take_due(now) else { continue };
-            let group = self.own_groups[author_tier(listed).index()];
+        for listed_tier in Tier::ALL {
+            let Some(table) = self.tables[listed_tier.index()].take_due(now) else { continue };
+            let group = self.own_groups[author_tier(listed_tier).index()];
             let represented_tiers =
-                Tier::ALL.into_iter().filter(|represented| *represented <= author_tier(listed));
+                Tier::ALL.into_iter().filter(|represented| *represented <= author_tier(listed_tier));
             for represented in represented_tiers.collect::<Vec<_>>() {
                 if self.represents(now, represented).is_none() {
                     break;
                 }
                 for recipient in self.recipients_below(now, represented) {
-                    self.send_message(recipient, listed, group, Content::Table(table.clone()), outputs);
+                    self.send_message(recipient, listed_tier, group, Content::Table(table.clone()), outputs);
                 }
             }
         }
--- a/crates/cluster/src/tiers/offices.rs
+++ b/crates/cluster/src/tiers/offices.rs
@@ -54,10 +54,10 @@
 
     /// Adopts the tables that earlier representatives of the group published.
     fn adopt_tables(&mut self, tier: Tier) {
-        let published_tiers = Tier::ALL.into_iter().filter(|listed| author_tier(*listed) == tier);
-        for listed in published_tiers {
-            if let Some((table, updated_at)) = self.tables[listed.index()].latest() {
-                self.reports[listed.index()].adopt(table, updated_at);
+        let published_tiers = Tier::ALL.into_iter().filter(|listed_tier| author_tier(*listed_tier) == tier);
+        for listed_tier in published_tiers {
+            if let Some((table, updated_at)) = self.tables[listed_tier.index()].latest() {
+                self.reports[listed_tier.index()].adopt(table, updated_at);
             }
         }
     }
@@ -80,7 +80,7 @@
                 let is_before = |index: &u16| usize::from(*index) < own;
                 may_be_candidate.then(|| self.detector.alive_others().filter(is_before).count())
             }
-            Some(below) => self.represents(now, below).map(|_term| self.own_places[below.index()]),
+            Some(below) => self.represents(now, below).map(|_term| self.own_indices[below.index()]),
         }
     }
 
@@ -126,16 +126,18 @@
 
     /// The representatives of the other sibling groups, or random members of groups whose representative is unknown.
     pub(super) fn sibling_representatives(&mut self, now: MonotonicTime, tier: Tier) -> Vec<u16> {
-        let own_place = self.own_places[tier.index()];
+        let own_index = self.own_indices[tier.index()];
         let siblings = self.topology.siblings(tier, self.own_groups[tier.index()]);
         let contacts = &mut self.contacts[tier.index()];
-        let others = siblings.iter().enumerate().filter(|(place, _)| *place != own_place);
-        others.map(|(place, group)| contacts.recipient(now, &self.topology, place, *group)).collect()
+        let others = siblings.iter().enumerate().filter(|(group_index, _)| *group_index != own_index);
+        others
+            .map(|(group_index, group)| contacts.recipient(now, &self.topology, group_index, *group))
+            .collect()
     }
 }
 
 /// The tier whose representative publishes the table of the groups of a tier: the tier above, or the region for the
 /// table of all regions.
-pub(super) fn author_tier(listed: Tier) -> Tier {
-    listed.above().unwrap_or(Tier::Region)
+pub(super) fn author_tier(listed_tier: Tier) -> Tier {
+    listed_tier.above().unwrap_or(Tier::Region)
 }
--- a/crates/cluster/src/tiers/receiving.rs
+++ b/crates/cluster/src/tiers/receiving.rs
@@ -53,7 +53,7 @@
     }
 
     /// The index of a member's group among this gateway's group of a tier and its siblings; `None` if it is in neither.
-    fn place_of(&self, member: u16, tier: Tier) -> Option<usize> {
+    fn index_of_group(&self, member: u16, tier: Tier) -> Option<usize> {
         let group = self.topology.group_of(tier, member)?;
         let siblings = self.topology.siblings(tier, self.own_groups[tier.index()]);
         siblings.iter().position(|sibling| *sibling == group)
@@ -74,8 +74,8 @@
             if self.represents(now, below).is_none() {
                 return self.redirect(now, from, below, outputs);
             }
-            if let Some(place) = self.place_of(from, below) {
-                self.contacts[below.index()].record(now, place, from);
+            if let Some(group_index) = self.index_of_group(from, below) {
+                self.contacts[below.index()].record(now, group_index, from);
             }
         }
         self.elect(now, tier, ElectionInput::Request { candidate: from, request }, outputs);
@@ -94,7 +94,7 @@
         }
         let voter = match tier.below() {
             None => self.site_members().iter().position(|member| *member == from),
-            Some(below) => self.place_of(from, below),
+            Some(below) => self.index_of_group(from, below),
         };
         let Some(voter) = voter else { return };
         if let Some(below) = tier.below() {
@@ -125,8 +125,8 @@
         if self.topology.group_of(tier, representative) != Some(group) {
             return;
         }
-        if let Some(place) = self.place_of(representative, tier) {
-            let is_new = self.contacts[tier.index()].record(now, place, representative);
+        if let Some(group_index) = self.index_of_group(representative, tier) {
+            let is_new = self.contacts[tier.index()].record(now, group_index, representative);
             if is_new && tier == Tier::Region && representative != self.own_member {
                 self.send_region_report(now, representative, outputs);
             }
@@ -142,20 +142,20 @@
         outputs: &mut Vec<Output>,
     ) {
         let is_sender_group = self.topology.group_of(tier, from) == Some(group);
-        let Some(place) = self.place_of(from, tier).filter(|_| is_sender_group) else { return };
+        let Some(group_index) = self.index_of_group(from, tier).filter(|_| is_sender_group) else { return };
         let publisher_tier = author_tier(tier);
-        if place == self.own_places[tier.index()] && tier == Tier::Region {
+        if group_index == self.own_indices[tier.index()] && tier == Tier::Region {
             return;
         }
         if self.represents(now, publisher_tier).is_none() {
             return self.redirect(now, from, publisher_tier, outputs);
         }
-        let is_new = self.contacts[tier.index()].record(now, place, from);
+        let is_new = self.contacts[tier.index()].record(now, group_index, from);
         if is_new && tier == Tier::Region {
             self.send_region_report(now, from, outputs);
         }
         if let ReportOutcome::Stale { term } =
-            self.reports[tier.index()].receive(now, place, from, version, count)
+            self.reports[tier.index()].receive(now, group_index, from, version, count)
         {
             self.send_message(from, tier, group, Content::StaleReport { term }, outputs);
         }
@@ -176,11 +176,11 @@
         &mut self,
         now: MonotonicTime,
         from: u16,
-        (listed, group): (Tier, u16),
+        (listed_tier, group): (Tier, u16),
         table: Table,
         outputs: &mut Vec<Output>,
     ) {
-        let publisher_tier = author_tier(listed);
+        let publisher_tier = author_tier(listed_tier);
         let is_own_group = group == self.own_groups[publisher_tier.index()];
         let is_from_group =
             self.is_of_group(from, publisher_tier) && self.is_of_group(table.author, publisher_tier);
@@ -188,7 +188,7 @@
             return;
         }
         let author = table.author;
-        let known_term = self.tables[listed.index()].receive(now, table);
+        let known_term = self.tables[listed_tier.index()].receive(now, table);
         if let Some(term) = known_term.filter(|_| author != self.own_member) {
             self.send_message(author, publisher_tier, group, Content::StaleReport { term }, outputs);
         }
--- a/crates/cluster/src/tiers/reports.rs
+++ b/crates/cluster/src/tiers/reports.rs
@@ -49,12 +49,12 @@
     pub fn receive(
         &mut self,
         now: MonotonicTime,
-        place: usize,
+        group_index: usize,
         author: u16,
         version: Version,
         count: Count,
     ) -> ReportOutcome {
-        let known = self.latest.get(place).copied().flatten();
+        let known = self.latest.get(group_index).copied().flatten();
         if let Some(known) = known {
             let is_fresh = self.is_fresh(&known, now);
             let is_from_other_author = version.term == known.version.term && author != known.author;
@@ -65,15 +65,15 @@
                 return ReportOutcome::Ignored;
             }
         }
-        let Some(latest) = self.latest.get_mut(place) else { return ReportOutcome::Ignored };
+        let Some(latest) = self.latest.get_mut(group_index) else { return ReportOutcome::Ignored };
         *latest = Some(Report { version, author, count, received_at: now });
         ReportOutcome::Accepted
     }
 
     /// The count of a group of this size: unknown without a report within the timeout (T6), and limited to the size
     /// (T5).
-    pub fn count(&self, now: MonotonicTime, place: usize, size: u16) -> Count {
-        match self.latest.get(place).copied().flatten() {
+    pub fn count(&self, now: MonotonicTime, group_index: usize, size: u16) -> Count {
+        match self.latest.get(group_index).copied().flatten() {
             Some(report) if self.is_fresh(&report, now) => report.count.clamped(size),
             _ => Count::unknown(size),
         }
--- a/crates/cluster/src/tiers/tables.rs
+++ b/crates/cluster/src/tiers/tables.rs
@@ -52,9 +52,9 @@
     }
 
     /// The count of the group at an index; unknown if the table is stale.
-    pub(super) fn count(&self, now: MonotonicTime, place: usize) -> Count {
-        let size = self.sizes.get(place).copied().unwrap_or(0);
-        match self.table.counts.get(place) {
+    pub(super) fn count(&self, now: MonotonicTime, group_index: usize) -> Count {
+        let size = self.sizes.get(group_index).copied().unwrap_or(0);
+        match self.table.counts.get(group_index) {
             Some(count) if self.is_fresh(now) => count.clamped(size),
             _ => Count::unknown(size),
         }
--- a/crates/cluster/src/tiers/view.rs
+++ b/crates/cluster/src/tiers/view.rs
@@ -71,9 +71,9 @@
     fn tier_report(&self, now: MonotonicTime, tier: Tier) -> TierReport {
         let own = self.own_groups[tier.index()];
         let siblings = self.topology.siblings(tier, own).iter().enumerate();
-        let group = |(place, group): (usize, &u16)| {
+        let group = |(group_index, group): (usize, &u16)| {
             let (name, size) = (self.topology.name(tier, *group).into(), self.topology.size(tier, *group));
-            group_report(name, size, self.count(now, tier, place))
+            group_report(name, size, self.count(now, tier, group_index))
         };
         let election = &self.elections[tier.index()];
         let author = || self.tables[tier.below()?.index()].author(now);
--- a/crates/cluster/tests/tiers/fleet_simulation.rs
+++ b/crates/cluster/tests/tiers/fleet_simulation.rs
@@ -183,11 +183,11 @@
                 membership.handle(now, Input::Received { kind, from, body: &body }, &mut outputs);
             }
         }
-        outputs.into_iter().for_each(|output| self.carry_out(to, output));
+        outputs.into_iter().for_each(|output| self.apply_output(to, output));
         true
     }
 
-    fn carry_out(&mut self, sender: u16, output: Output) {
+    fn apply_output(&mut self, sender: u16, output: Output) {
         match output {
             Output::Send { to, kind, body } => {
                 assert!(body.len() <= MAX_BODY_BYTES && to != sender, "{kind:?} from {sender} to {to}");
@@ -238,8 +238,8 @@
             };
             for tier in Tier::ALL {
                 let own = self.topology.group_of(tier, member).expect("a member");
-                for (place, group) in self.topology.siblings(tier, own).iter().enumerate() {
-                    call(member, tier, *group, membership.count(self.now, tier, place));
+                for (group_index, group) in self.topology.siblings(tier, own).iter().enumerate() {
+                    call(member, tier, *group, membership.count(self.now, tier, group_index));
                 }
             }
         }
--- a/crates/cluster/tests/tiers/histories.rs
+++ b/crates/cluster/tests/tiers/histories.rs
@@ -168,8 +168,8 @@
             }
             for tier in Tier::ALL {
                 let own = topology.group_of(tier, 4).expect("a member");
-                for (place, group) in topology.siblings(tier, own).iter().enumerate() {
-                    let count = membership.count(now, tier, place);
+                for (group_index, group) in topology.siblings(tier, own).iter().enumerate() {
+                    let count = membership.count(now, tier, group_index);
                     prop_assert!(count.live + count.unknown <= topology.size(tier, *group));
                 }
             }
