--- a/crates/distribution/src/configuration.rs
+++ b/crates/distribution/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration as events: versioned documents that all gateways, or a share of them, take over
+//! Configuration distributed as events: versioned documents for all gateways or for a share of them
 //! (`docs/design/configuration-events.md`).
 mod document;
 mod error;
@@ -28,8 +28,8 @@
 pub use table::{DocumentTable, StoredDocument, TableChange, MAX_DOCUMENTS, MAX_DOCUMENT_BYTES};
 pub use targets::{Targets, MAX_ZONES};
 
-/// Bytes of a document's name at most.
+/// Maximum length of a document's name in bytes.
 pub const MAX_DOCUMENT_NAME_BYTES: usize = 255;
 
-/// Bytes of a document's content at most.
+/// Maximum size of a document's content in bytes.
 pub const MAX_CONTENT_BYTES: usize = 64 << 10;
--- a/crates/distribution/src/configuration/event.rs
+++ b/crates/distribution/src/configuration/event.rs
@@ -1,4 +1,4 @@
-//! Documents as events carry them.
+//! The wire format of documents in events.
 use super::{
     Document, DocumentError, DocumentId, DocumentKind, DocumentVersion, DocumentsError, Targets,
     MAX_DOCUMENTS,
@@ -8,15 +8,15 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeSet;
 
-/// Entries of an event at most: for each document the version for all and a staged one.
+/// Maximum number of entries in an event: per document one version for all gateways and one staged.
 pub const MAX_ENTRIES: usize = 2 * MAX_DOCUMENTS;
 
-/// A document among those of an event.
+/// A document entry of an event.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DocumentEntry {
-    /// The document.
+    /// The document version.
     pub document: Document,
-    /// In a full list: the event that brought it, if that is known.
+    /// Number of the event that introduced the version. Only set in full lists, and only if known.
     pub introduced_by: Option<EventNumber>,
 }
 
@@ -26,12 +26,12 @@
     }
 }
 
-/// The documents of an event: all that there are, or changes to them.
+/// The documents of an event: the full list or changes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DocumentsEvent {
-    /// What the documents are.
+    /// Whether `documents` is the full list or a set of changes.
     pub kind: ListKind,
-    /// The documents.
+    /// The entries in the order of the event.
     pub documents: Vec<DocumentEntry>,
 }
 
@@ -60,7 +60,7 @@
     content: &'a RawValue,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     targets: Option<Targets>,
-    /// In a full list: the event that brought it.
+    /// Number of the event that introduced the version; only in full lists.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     event: Option<EventNumber>,
 }
@@ -79,7 +79,7 @@
     entries: Vec<EntryForm<'a>>,
 }
 
-/// The text of a content that withdraws the document.
+/// JSON text of the content of a withdrawn document.
 const WITHDRAWN: &str = "null";
 
 impl EntryForm<'_> {
@@ -96,17 +96,17 @@
 }
 
 impl DocumentsEvent {
-    /// A change to these documents, which every gateway applies together or not at all.
+    /// Creates a change to these documents. Each gateway applies all of it or nothing.
     pub fn changes(documents: impl IntoIterator<Item = Document>) -> DocumentsEvent {
         let documents = documents.into_iter().map(DocumentEntry::from).collect();
         DocumentsEvent { kind: ListKind::Delta, documents }
     }
 
-    /// Reads the documents out of an event's data; none where it carries none.
+    /// Reads the documents from an event's data. Returns `None` if it has none.
     ///
     /// # Errors
     ///
-    /// Fails, naming the key, if the documents are not of this form or past a bound.
+    /// Fails, naming the key, if the documents are malformed or exceed a limit.
     pub fn read(data: &str) -> Result<Option<DocumentsEvent>, DocumentsError> {
         let form: EventForm<'_> = serde_json::from_str(data).map_err(DocumentsError::Malformed)?;
         let Some(form) = form.documents else { return Ok(None) };
@@ -119,11 +119,11 @@
         Ok(Some(event))
     }
 
-    /// Checks each document, and that none is repeated.
+    /// Checks each document, and that no document occurs twice for the same gateways.
     ///
     /// # Errors
     ///
-    /// Fails at the first entry that is not allowed.
+    /// Fails at the first invalid entry.
     pub fn check(&self) -> Result<(), DocumentsError> {
         let mut seen = BTreeSet::new();
         for (index, DocumentEntry { document, .. }) in self.documents.iter().enumerate() {
@@ -137,12 +137,12 @@
         Ok(())
     }
 
-    /// The data of an event under `number` that carries these documents.
+    /// The data of an event with this number that carries these documents.
     pub fn data(&self, number: EventNumber) -> String {
         serde_json::to_string(&EventOutput { number, documents: self.output() }).unwrap_or_default()
     }
 
-    /// The JSON text of the documents alone, as an event with other contents carries them.
+    /// The JSON text of the documents alone, for an event that carries other data as well.
     pub fn json(&self) -> String {
         serde_json::to_string(&self.output()).unwrap_or_default()
     }
@@ -153,7 +153,7 @@
     }
 }
 
-/// The entry of a document; none if its content is not JSON, which [`DocumentsEvent::read`] never gives.
+/// The serialized form of an entry; `None` if its content is not JSON, which [`DocumentsEvent::read`] never returns.
 fn entry_form(entry: &DocumentEntry) -> Option<EntryForm<'_>> {
     let Document { id, version, content, targets } = &entry.document;
     Some(EntryForm {
--- a/crates/distribution/src/configuration/gateway.rs
+++ b/crates/distribution/src/configuration/gateway.rs
@@ -1,79 +1,80 @@
-//! The documents of one gateway: what events have brought, what is in force, and what it cannot apply.
+//! The documents of one gateway: received versions, versions in force, and rejected versions.
 use super::{
     Document, DocumentId, DocumentTable, DocumentVersion, DocumentsEvent, StoredDocument, TableChange,
 };
 use crate::event_number::{EventNumber, ListKind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Versions ignored at the table's bound that are remembered at most; past it further ones are only counted.
+/// Maximum number of remembered versions that the table ignored at its limit. Beyond it, only a flag records that there
+/// were more.
 const MAX_IGNORED: usize = 64;
 
-/// Why a version is ignored at the table's bound.
-const IGNORED_REASON: &str = "documents: too many documents or bytes of them";
+/// Rejection reason of a version that the table ignored at its limit.
+const IGNORED_REASON: &str = "documents: limit on the number or size of documents exceeded";
 
-/// What would be in force of one document.
+/// A change of the version in force of one document.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DocumentChange {
-    /// Which document.
+    /// Identity of the document.
     pub id: DocumentId,
-    /// Which version; 0.0 for a document that a full list has not any more.
+    /// The new version; 0.0 for a document that is no longer in the full list.
     pub version: DocumentVersion,
-    /// The version that would be in force; none if the file's value would be.
+    /// The document to put in force; `None` to put the file's value in force.
     pub document: Option<Document>,
-    /// The event that brought the version. Changes of one event are accepted or rejected together.
+    /// Number of the version's event. Changes of one event are accepted or rejected together.
     pub number: EventNumber,
 }
 
-/// Changes that are wanted in force, to be tried together: [`GatewayDocuments::documents_with`] gives the whole set.
+/// Changes to be tried together. [`GatewayDocuments::documents_with`] returns the resulting set of documents.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Candidate {
     changes: Vec<DocumentChange>,
 }
 
 impl Candidate {
-    /// The changes, by document.
+    /// The changes in order of document.
     pub fn changes(&self) -> &[DocumentChange] {
         &self.changes
     }
 }
 
-/// A version that the gateway cannot apply.
+/// A document version that the gateway cannot apply.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Rejection {
-    /// Which document.
+    /// Identity of the document.
     pub id: DocumentId,
-    /// Which version.
+    /// The rejected version.
     pub version: DocumentVersion,
-    /// Why, naming the key.
+    /// The reason, naming the key.
     pub reason: String,
-    /// The event that brought it.
+    /// Number of the version's event.
     pub number: EventNumber,
 }
 
-/// The documents of one gateway. Each [`Candidate`] is to be accepted or rejected before the gateway reports a position
-/// at or past its event; until then the versions before stay in force.
+/// The documents of one gateway. Each [`Candidate`] must be accepted or rejected before the gateway reports a position
+/// at or past its event. Until then the previous versions stay in force.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GatewayDocuments {
     name: String,
     zone: String,
-    /// What events have brought, bounded as stated there.
+    /// The received versions. [`DocumentTable`] states the limits.
     table: DocumentTable,
-    /// Documents of the table, and those that a full list has dropped while that list could not be applied.
+    /// Documents in force: those of the table, and those missing from a full list that could not be applied.
     in_force: BTreeMap<DocumentId, Document>,
-    /// Documents that are neither in force as wanted nor rejected.
+    /// Documents whose wanted version is neither in force nor rejected.
     unsettled: BTreeSet<DocumentId>,
-    /// Documents of the table, or just out of it, whose wanted version cannot be applied.
+    /// Rejections of wanted versions, for documents of the table or just removed from it.
     rejected: BTreeMap<DocumentId, Rejection>,
-    /// Versions that the table ignored; at most [`MAX_IGNORED`], see there.
+    /// Versions that the table ignored at its limit; at most [`MAX_IGNORED`].
     ignored: BTreeMap<DocumentId, Rejection>,
-    /// Whether versions were ignored that are not remembered, or documents could not be read.
+    /// Whether further versions were ignored beyond [`MAX_IGNORED`], or documents could not be read.
     ignored_omitted: bool,
-    /// The last event with documents.
+    /// Number of the last event with documents.
     last_documents_event: EventNumber,
 }
 
 impl GatewayDocuments {
-    /// A gateway of this name in this zone, without documents.
+    /// Creates the state of the gateway with this name and zone, without documents.
     pub fn new(name: impl Into<String>, zone: impl Into<String>) -> GatewayDocuments {
         GatewayDocuments {
             name: name.into(),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Takes in the documents of the next event. Returns what has to be tried, if anything.
+    /// Handles the documents of the next event. Returns the changes to try, if any.
     pub fn handle(&mut self, number: EventNumber, event: DocumentsEvent) -> Option<Candidate> {
         self.last_documents_event = number;
         if event.kind == ListKind::Full {
@@ -101,8 +102,8 @@
         self.candidate()
     }
 
-    /// Takes in the first event after a gap in the numbers, or of another history: without a full list there are no
-    /// documents before it.
+    /// Handles the first event after a gap or of a different history. Unless it has a full list, all earlier documents
+    /// are dropped.
     pub fn handle_gap(&mut self, number: EventNumber, event: Option<DocumentsEvent>) -> Option<Candidate> {
         if event.as_ref().is_none_or(|event| event.kind == ListKind::Delta) {
             let none = DocumentsEvent { kind: ListKind::Full, documents: Vec::new() };
@@ -114,13 +115,13 @@
         }
     }
 
-    /// The documents of an event cannot be read. Which versions they are is not known, so that none counts as applied
-    /// by this gateway until the next full list.
+    /// Handles an event whose documents cannot be read. Their versions are unknown, so no version counts as applied by
+    /// this gateway until the next full list.
     pub fn handle_unreadable(&mut self) {
         self.ignored_omitted = true;
     }
 
-    /// What a candidate changes is in force from now on.
+    /// Records that a candidate's changes are in force.
     pub fn accept(&mut self, candidate: Candidate) {
         for change in candidate.changes {
             if self.wanted_change(&change.id) == change {
@@ -133,8 +134,9 @@
         }
     }
 
-    /// A candidate cannot be applied because of this document; if none is known, because of all. All changes of its
-    /// event are rejected: the versions before stay in force. Returns what has to be tried next, if anything.
+    /// Records that a candidate cannot be applied because of the document `fault`. All changes of that document's event
+    /// are rejected, or all changes of the candidate if `fault` is `None`; the previous versions stay in force. Returns
+    /// the changes to try next, if any.
     pub fn reject(
         &mut self,
         candidate: Candidate,
@@ -153,7 +155,7 @@
         self.candidate()
     }
 
-    /// What has to be tried again because the file has changed: all versions that were rejected.
+    /// Returns all rejected versions to be tried again because the gateway's file has changed.
     pub fn retry(&mut self) -> Option<Candidate> {
         let rejected = std::mem::take(&mut self.rejected);
         self.unsettled.extend(rejected.into_keys());
@@ -165,7 +167,7 @@
         self.in_force.values()
     }
 
-    /// The documents that would be in force with a candidate.
+    /// The documents that would be in force after accepting a candidate.
     pub fn documents_with<'a>(&'a self, candidate: &'a Candidate) -> impl Iterator<Item = &'a Document> {
         let changed =
             |id: &DocumentId| candidate.changes.binary_search_by(|change| change.id.cmp(id)).is_ok();
@@ -173,12 +175,12 @@
         unchanged.chain(candidate.changes.iter().filter_map(|change| change.document.as_ref()))
     }
 
-    /// The versions that cannot be applied.
+    /// The rejected and the ignored versions.
     pub fn rejections(&self) -> impl Iterator<Item = &Rejection> {
         self.rejected.values().chain(self.ignored.values())
     }
 
-    /// Whether there are more versions not applied than [`GatewayDocuments::rejections`] gives.
+    /// Whether there are further versions not applied that [`GatewayDocuments::rejections`] does not return.
     pub fn rejections_omitted(&self) -> bool {
         self.ignored_omitted
     }
@@ -188,12 +190,13 @@
         self.unsettled.is_empty()
     }
 
-    /// All that events have brought.
+    /// All received document versions.
     pub fn table(&self) -> &DocumentTable {
         &self.table
     }
 
-    /// A document has another version. If the one before was rejected, what came with that is tried again.
+    /// Marks a document whose version has changed as unsettled. If its previous version was rejected, the other changes
+    /// of that event are tried again.
     fn mark_unsettled(&mut self, id: &DocumentId) {
         self.ignored.remove(id);
         self.unsettled.insert(id.clone());
@@ -220,7 +223,7 @@
         self.rejected.insert(id.clone(), rejection);
     }
 
-    /// What is wanted of a document.
+    /// The change that puts the wanted version of a document in force.
     fn wanted_change(&self, id: &DocumentId) -> DocumentChange {
         let stored = self.table.version_for(id, &self.name, &self.zone);
         let document = stored.map(|stored| &stored.document).filter(|document| document.content.is_some());
@@ -232,7 +235,7 @@
         }
     }
 
-    /// The changes that are to be tried: all that are unsettled and differ from what is in force.
+    /// The changes to try: all unsettled documents whose wanted version differs from the one in force.
     fn candidate(&mut self) -> Option<Candidate> {
         let mut changes = Vec::new();
         for id in std::mem::take(&mut self.unsettled) {
--- a/crates/distribution/src/configuration/identity.rs
+++ b/crates/distribution/src/configuration/identity.rs
@@ -1,8 +1,8 @@
-//! Which document, and which version of it.
+//! Identities and versions of documents.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What a document configures.
+/// The kind of object that a document configures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DocumentKind {
@@ -17,7 +17,7 @@
 }
 
 impl DocumentKind {
-    /// Its name on the wire.
+    /// Name of the kind on the wire.
     pub fn name(self) -> &'static str {
         match self {
             DocumentKind::Class => "class",
@@ -31,14 +31,14 @@
 /// The identity of a document, which all its versions share.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DocumentId {
-    /// What it configures.
+    /// Kind of the configured object.
     pub kind: DocumentKind,
-    /// Its name among those of its kind.
+    /// Name of the document, unique within its kind.
     pub name: String,
 }
 
 impl DocumentId {
-    /// A document of this kind and name.
+    /// Creates the identity of the document with this kind and name.
     pub fn new(kind: DocumentKind, name: impl Into<String>) -> DocumentId {
         DocumentId { kind, name: name.into() }
     }
@@ -50,12 +50,12 @@
     }
 }
 
-/// The version of a document. Stages of one version have the same content and reach ever more gateways.
+/// The version of a document. The stages of a version have the same content and target more and more gateways.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DocumentVersion {
-    /// The version, from 1 on; a change of the content is a larger one.
+    /// Version number, from 1. Every change of the content increases it.
     pub version: u64,
-    /// The stage within it, from 0 on.
+    /// Stage within the version, from 0.
     #[serde(default)]
     pub stage: u32,
 }
--- a/crates/distribution/src/configuration/observation.rs
+++ b/crates/distribution/src/configuration/observation.rs
@@ -1,29 +1,29 @@
-//! What relays report of the gateways, as far as a rollout needs it.
+//! The state of the gateways reported by relays, as needed by a rollout.
 use super::{DocumentId, DocumentVersion, RejectedVersion};
 use crate::event_number::EventNumber;
 
-/// How far all gateways are, and what they reject.
+/// The positions and rejections of all gateways.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Observation {
     /// Every gateway has applied or rejected all events up to this one.
     pub applied: EventNumber,
-    /// Gateways counted in `applied`, those lost included.
+    /// Number of gateways counted in `applied`, including lost ones.
     pub gateways: u64,
-    /// Gateways that are gone, counted with their last position.
+    /// Number of disconnected gateways, which are counted with their last position.
     pub lost: u64,
-    /// Versions that gateways reject.
+    /// Versions that gateways have rejected.
     pub rejections: Vec<RejectedVersion>,
-    /// Whether versions are rejected that are not among `rejections`.
+    /// Whether further versions are rejected that `rejections` does not list.
     pub rejections_omitted: bool,
 }
 
 impl Observation {
-    /// Whether every gateway is past this event. Without a gateway that is not known.
+    /// Whether every gateway has reached this event. False without gateways.
     pub fn is_applied(&self, number: EventNumber) -> bool {
         self.gateways > 0 && self.applied >= number
     }
 
-    /// Gateways known to reject a version.
+    /// Number of gateways known to reject a version.
     pub fn rejecting_gateways(&self, id: &DocumentId, version: DocumentVersion) -> u64 {
         let of_version = self.rejections.iter().filter(|rejected| rejected.matches(id, version));
         of_version.map(|rejected| rejected.gateways).sum()
--- a/crates/distribution/src/configuration/rejection_totals.rs
+++ b/crates/distribution/src/configuration/rejection_totals.rs
@@ -1,4 +1,4 @@
-//! What many reports say together of the versions that gateways cannot apply.
+//! Aggregation of the document versions that gateways cannot apply.
 use super::{
     DocumentId, DocumentVersion, RejectedVersion, MAX_DOCUMENT_NAME_BYTES, MAX_REJECTING_GATEWAYS,
     MAX_REJECTIONS,
@@ -6,23 +6,23 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rejections of all reporters held at most; a reporter past it counts as one that has left its rejections out.
+/// Maximum number of stored rejections of all reporters. A report that would exceed it counts as omitted.
 pub const MAX_STORED_REJECTIONS: usize = 16_384;
 
-/// A rejected version.
+/// Identifies a rejected version.
 type VersionKey = (DocumentId, DocumentVersion);
 
 /// The rejections of one report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReportedRejections {
-    /// The versions.
+    /// The rejected versions.
     pub versions: Vec<RejectedVersion>,
-    /// Whether there are more.
+    /// Whether further rejections were omitted.
     pub omitted: bool,
 }
 
 impl ReportedRejections {
-    /// The rejections of so many gateways within the bounds that this package states, whoever reported them.
+    /// Truncates received rejections to the limits of this package. `gateways` is the number of gateways in the report.
     pub(crate) fn bounded(mut versions: Vec<RejectedVersion>, gateways: u64) -> ReportedRejections {
         let reported = versions.len();
         versions.retain(|version| version.id.name.len() <= MAX_DOCUMENT_NAME_BYTES);
@@ -33,32 +33,32 @@
     }
 }
 
-/// Who rejects a version.
+/// The rejections of one version.
 #[derive(Debug)]
 struct VersionTotals<R> {
     gateways: u64,
-    /// By reporter, what it says.
+    /// The rejection as reported, by reporter.
     reports: BTreeMap<R, RejectedVersion>,
 }
 
-/// What a reporter has reported.
+/// The versions rejected by one reporter.
 #[derive(Debug)]
 struct Reporter {
     versions: Vec<VersionKey>,
     omitted: bool,
 }
 
-/// The rejections of many reporters, by version. A report costs O(log n) for n reporters and each of its rejections.
+/// The rejections of many reporters, by version. A report costs O(log n) per rejection for n reporters.
 #[derive(Debug)]
 pub struct RejectionTotals<R> {
     by_version: BTreeMap<VersionKey, VersionTotals<R>>,
-    /// The versions in `by_version`, those that the most gateways reject first.
+    /// The versions in `by_version`, in descending order of rejecting gateways.
     by_gateways: BTreeSet<(Reverse<u64>, VersionKey)>,
-    /// Reporters that reject anything.
+    /// Reporters with at least one rejection or with omitted rejections.
     reporters: BTreeMap<R, Reporter>,
-    /// Rejections in `by_version`; at most [`MAX_STORED_REJECTIONS`], see there.
+    /// Number of rejections in `by_version`; at most [`MAX_STORED_REJECTIONS`].
     stored_count: usize,
-    /// Reporters that have left rejections out.
+    /// Number of reporters with omitted rejections.
     omitting_count: usize,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl<R: Ord + Copy> RejectionTotals<R> {
-    /// Adds what a reporter without rejections so far has reported.
+    /// Adds a report. The reporter must not have one already.
     pub fn insert(&mut self, reporter: R, mut report: ReportedRejections) {
         if self.stored_count + report.versions.len() > MAX_STORED_REJECTIONS {
             report = ReportedRejections { versions: Vec::new(), omitted: true };
@@ -92,7 +92,7 @@
         self.reporters.insert(reporter, Reporter { versions, omitted: report.omitted });
     }
 
-    /// Removes what a reporter has reported, and returns it.
+    /// Removes and returns a reporter's rejections.
     pub fn remove(&mut self, reporter: R) -> ReportedRejections {
         let Some(removed) = self.reporters.remove(&reporter) else { return ReportedRejections::default() };
         self.stored_count -= removed.versions.len();
@@ -102,7 +102,7 @@
         ReportedRejections { versions, omitted: removed.omitted }
     }
 
-    /// The versions that the most gateways reject, at most [`MAX_REJECTIONS`].
+    /// The versions with the most rejecting gateways, at most [`MAX_REJECTIONS`].
     pub fn aggregate(&self) -> ReportedRejections {
         let keys = self.by_gateways.iter().take(MAX_REJECTIONS).map(|(_, key)| key);
         let versions = keys.filter_map(|key| Some(combine_reports(key, self.by_version.get(key)?))).collect();
@@ -112,12 +112,12 @@
         }
     }
 
-    /// Whether no gateway is known to reject a version, and none may.
+    /// Whether no gateway rejects a version. False if any reporter has omitted rejections.
     pub fn has_no_rejection_of(&self, id: &DocumentId, version: DocumentVersion) -> bool {
         self.omitting_count == 0 && !self.by_version.contains_key(&(id.clone(), version))
     }
 
-    /// Adds one rejection; none if the reporter names the version twice.
+    /// Adds one rejection. Returns `None` if the reporter lists the version twice.
     fn add(&mut self, reporter: R, version: RejectedVersion) -> Option<VersionKey> {
         let key = (version.id.clone(), version.version);
         let empty = || VersionTotals { gateways: 0, reports: BTreeMap::new() };
@@ -146,7 +146,7 @@
     }
 }
 
-/// What all reporters say of a version together. No more of them are looked at than gateways are named.
+/// Combines the reports about a version. Reads at most [`MAX_REJECTING_GATEWAYS`] reports, the number of names listed.
 fn combine_reports<R>((id, version): &VersionKey, totals: &VersionTotals<R>) -> RejectedVersion {
     let reports = || totals.reports.values().take(MAX_REJECTING_GATEWAYS);
     let mut names: Vec<String> = reports().flat_map(|report| report.names.iter().cloned()).collect();
--- a/crates/distribution/src/configuration/rejections.rs
+++ b/crates/distribution/src/configuration/rejections.rs
@@ -1,39 +1,40 @@
-//! Which versions gateways cannot apply: parts of the reports that go up the tree of relays.
+//! Rejected document versions, as contained in the reports that go up the tree of relays.
 use super::{DocumentId, DocumentVersion, Rejection};
 use serde::{Deserialize, Serialize};
 
-/// Rejected versions in a report at most: those that the most gateways reject. A report says if it left some out.
+/// Maximum number of rejected versions in a report: those with the most rejecting gateways. A report states whether
+/// others were omitted.
 pub const MAX_REJECTIONS: usize = 16;
 
-/// Gateways named for a rejected version at most: the first by name.
+/// Maximum number of gateways named for a rejected version: the first by name.
 pub const MAX_REJECTING_GATEWAYS: usize = 5;
 
-/// Bytes of a reason at most; longer ones are cut.
+/// Maximum length of a reason in bytes; longer reasons are truncated.
 pub const MAX_REASON_BYTES: usize = 512;
 
-/// Bytes of a gateway's name in a report at most; longer ones are cut.
+/// Maximum length of a gateway's name in a report, in bytes; longer names are truncated.
 pub const MAX_GATEWAY_NAME_BYTES: usize = 128;
 
-/// A version that gateways cannot apply.
+/// A document version that gateways cannot apply.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RejectedVersion {
-    /// Which document.
+    /// Identity of the document.
     #[serde(flatten)]
     pub id: DocumentId,
-    /// Which version.
+    /// The rejected version.
     #[serde(flatten)]
     pub version: DocumentVersion,
-    /// Why, naming the key; where gateways differ, that of one of them.
+    /// The reason, naming the key. If gateways differ, the reason of one of them.
     pub reason: String,
-    /// Gateways that reject it.
+    /// Number of gateways that reject the version.
     pub gateways: u64,
-    /// Names of some of them; at most [`MAX_REJECTING_GATEWAYS`].
+    /// Names of some of these gateways; at most [`MAX_REJECTING_GATEWAYS`].
     #[serde(default)]
     pub names: Vec<String>,
 }
 
 impl RejectedVersion {
-    /// One gateway's rejection.
+    /// Creates the report of a rejection by one gateway.
     pub fn of_gateway(name: &str, rejection: &Rejection) -> RejectedVersion {
         RejectedVersion {
             id: rejection.id.clone(),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Cuts what is past a bound.
+    /// Truncates a received rejection to the limits. `gateways` is the number of gateways in its report.
     pub(super) fn truncate_to_bounds(&mut self, gateways: u64) {
         self.gateways = self.gateways.min(gateways);
         self.reason.truncate(self.reason.floor_char_boundary(MAX_REASON_BYTES));
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Whether it concerns this version of this document.
+    /// Whether the rejection concerns this version of this document.
     pub fn matches(&self, id: &DocumentId, version: DocumentVersion) -> bool {
         self.id == *id && self.version == version
     }
--- a/crates/distribution/src/configuration/rollout.rs
+++ b/crates/distribution/src/configuration/rollout.rs
@@ -1,96 +1,96 @@
-//! A rollout: a version goes to ever more gateways, and is halted or rolled back where that fails.
+//! The staged rollout of a document version to more and more gateways, which is halted or rolled back on failure.
 use super::{Document, DocumentVersion, Observation, PlanError, RejectedVersion, RolloutPlan};
 use crate::event_number::EventNumber;
 use larchway::MonotonicTime;
 
-/// What happens to a rollout.
+/// An input to a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum RolloutInput {
-    /// It is to begin.
+    /// Start the rollout.
     Start,
-    /// A version of its document is held by the relays, under this number.
+    /// The relays have stored a version of the rollout's document.
     VersionStored {
-        /// Which version.
+        /// The stored version.
         version: DocumentVersion,
-        /// The event that brought it.
+        /// Number of the version's event.
         number: EventNumber,
     },
-    /// What the relays report now.
+    /// The current report of the relays.
     Observed(Observation),
-    /// An operator halts it.
+    /// An operator halts the rollout.
     Halt,
-    /// An operator rolls it back.
+    /// An operator rolls the version back.
     RollBack,
     /// The time of [`Rollout::next_due`] has come.
     Tick,
 }
 
-/// Why a rollout was halted.
+/// Reasons for halting a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum HaltReason {
-    /// More gateways reject the version than are tolerated; these are the rejections.
+    /// More gateways reject the version than tolerated; with the rejections.
     Rejected(Vec<RejectedVersion>),
-    /// The relays left rejections out, so that the version's may be among them.
+    /// The relays omitted rejections, which may concern the version.
     RejectionsOmitted,
-    /// The stage was not applied by all that it targets in its longest time.
+    /// Not all targeted gateways applied the stage within the maximum stage time.
     StageOverdue {
-        /// Its index.
+        /// Index of the stage.
         stage: usize,
     },
-    /// An operator halted it.
+    /// An operator halted the rollout.
     Operator,
 }
 
-/// What the caller has to do.
+/// An action or notification for the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum RolloutOutput {
-    /// Publish the next stage.
+    /// Publish this document of the next stage.
     Publish(Document),
-    /// Publish this newer version with the content of before.
+    /// Publish this newer version with the previous content.
     RollBack(Document),
-    /// It goes no further; the gateways that have the version keep it, unless a rollback follows.
+    /// The rollout was halted. Gateways that have applied the version keep it unless a rollback follows.
     Halted(HaltReason),
-    /// The version is applied by all.
+    /// All gateways have applied the version.
     Completed,
-    /// The rollback is applied by all.
+    /// All gateways have applied the rollback.
     RolledBack,
 }
 
-/// How far a rollout is.
+/// The state of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum RolloutState {
-    /// It has not begun.
+    /// The rollout has not started.
     Planned,
-    /// A stage is published, and not known to be applied by all that it targets.
+    /// A stage is published, but not all targeted gateways are known to have applied it.
     Applying {
-        /// Its index.
+        /// Index of the stage.
         stage: usize,
-        /// When it began.
+        /// Time at which the stage began.
         since: MonotonicTime,
-        /// The event that brought it, once the relays hold it.
+        /// Number of the stage's event; absent until the relays have stored it.
         number: Option<EventNumber>,
     },
-    /// A stage is applied by all that it targets.
+    /// All targeted gateways have applied the stage, and the soak time is running.
     Soaking {
-        /// Its index.
+        /// Index of the stage.
         stage: usize,
-        /// When it began.
+        /// Time at which the stage began.
         since: MonotonicTime,
-        /// The event that brought it.
+        /// Number of the stage's event.
         number: EventNumber,
-        /// Since when it is applied.
+        /// Time since which the stage is applied.
         applied_at: MonotonicTime,
     },
-    /// It goes no further.
+    /// The rollout was halted.
     Halted,
     /// The rollback is published.
     RollingBack {
-        /// The event that brought it, once the relays hold it.
+        /// Number of the rollback's event; absent until the relays have stored it.
         number: Option<EventNumber>,
     },
-    /// The version is applied by all.
+    /// All gateways have applied the version.
     Completed,
-    /// The rollback is applied by all.
+    /// All gateways have applied the rollback.
     RolledBack,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Rollout {
-    /// A rollout that has not begun.
+    /// Creates a rollout that has not started.
     ///
     /// # Errors
     ///
@@ -112,7 +112,7 @@
         Ok(Rollout { plan, state: RolloutState::Planned })
     }
 
-    /// A rollout that goes on after its publisher's restart: this version of it is held by the relays.
+    /// Resumes a rollout after a restart of its publisher. `held` is the document version stored by the relays.
     ///
     /// # Errors
     ///
@@ -132,17 +132,17 @@
         Ok(rollout)
     }
 
-    /// The plan.
+    /// The plan of the rollout.
     pub fn plan(&self) -> &RolloutPlan {
         &self.plan
     }
 
-    /// How far it is.
+    /// The current state.
     pub fn state(&self) -> &RolloutState {
         &self.state
     }
 
-    /// Takes in what has happened and appends what the caller has to do.
+    /// Processes an input and appends the actions for the caller to `out`.
     pub fn handle(&mut self, now: MonotonicTime, input: RolloutInput, out: &mut Vec<RolloutOutput>) {
         match input {
             RolloutInput::Start => self.start(now, out),
@@ -155,7 +155,7 @@
         self.halt_if_overdue(now, out);
     }
 
-    /// When [`RolloutInput::Tick`] is wanted, if ever.
+    /// Time at which the caller has to pass [`RolloutInput::Tick`], if any.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         match self.state {
             RolloutState::Applying { since, .. } => Some(since + self.plan.max_stage_time),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Whether a stage is published and may be followed by another.
+    /// Whether a stage is published and the rollout is neither halted nor finished.
     pub fn is_under_way(&self) -> bool {
         matches!(self.state, RolloutState::Applying { .. } | RolloutState::Soaking { .. })
     }
@@ -179,7 +179,7 @@
         out.push(RolloutOutput::Publish(self.plan.document(stage)));
     }
 
-    /// The relays hold a version of the document.
+    /// Records the event number of the current stage or rollback once the relays have stored it.
     fn record_event_number(&mut self, stored: DocumentVersion, stored_number: EventNumber) {
         let rollback = self.plan.rollback().version;
         let version = self.plan.version;
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Why the rollout must go no further, if it must not.
+    /// The reason to halt the rollout, if any.
     fn halt_reason(&self, observation: &Observation) -> Option<HaltReason> {
         let is_of_plan = |rejected: &&RejectedVersion| {
             rejected.id == self.plan.id && rejected.version.version == self.plan.version
@@ -235,7 +235,8 @@
         observation.rejections_omitted.then_some(HaltReason::RejectionsOmitted)
     }
 
-    /// Goes on to the next stage if this one is applied by all that it targets, and has been for long enough.
+    /// Updates the stage by an observation, and starts the next one if this one is applied and the soak time has
+    /// passed.
     fn update_stage(&mut self, now: MonotonicTime, observation: &Observation, out: &mut Vec<RolloutOutput>) {
         match self.state {
             RolloutState::Applying { stage, since, number: Some(number) }
@@ -252,7 +253,7 @@
         }
     }
 
-    /// The stage is applied now: the next one follows after the soak, and nothing after that for all gateways.
+    /// Publishes the next stage after the soak time, or completes the rollout after the stage for all gateways.
     fn advance(&mut self, now: MonotonicTime, out: &mut Vec<RolloutOutput>) {
         let RolloutState::Soaking { stage, applied_at, .. } = self.state else { return };
         if stage >= self.plan.stages.len() {
@@ -271,7 +272,7 @@
         }
     }
 
-    /// From any state in which the version may be in force somewhere.
+    /// Rolls back from any state in which the version may be in force at a gateway.
     fn roll_back(&mut self, out: &mut Vec<RolloutOutput>) {
         match self.state {
             RolloutState::Planned | RolloutState::RollingBack { .. } | RolloutState::RolledBack => {}
--- a/crates/distribution/src/configuration/rollout_plan.rs
+++ b/crates/distribution/src/configuration/rollout_plan.rs
@@ -1,70 +1,70 @@
-//! The plan of a rollout: which document, to which gateways in which order, and when to stop.
+//! The plan of a rollout: the document, its target gateways per stage, and when to halt.
 use super::{Document, DocumentError, DocumentId, DocumentVersion, Targets};
 use std::sync::Arc;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Stages of a plan at most, the last one for all gateways not counted.
+/// Maximum number of stages in a plan, not counting the final one for all gateways.
 pub const MAX_STAGES: usize = 256;
 
-/// Gateways that a version reaches before all others.
+/// A stage of a rollout before the final one for all gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RolloutStage {
-    /// Which gateways.
+    /// The gateways of this stage.
     pub targets: Targets,
 }
 
 /// The plan of a rollout. After its stages the version goes to all gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RolloutPlan {
-    /// Which document.
+    /// Identity of the document.
     pub id: DocumentId,
-    /// The new version.
+    /// Number of the new version.
     pub version: u64,
-    /// Its content; none to withdraw the document.
+    /// Content of the new version; `None` withdraws the document.
     pub content: Option<Arc<str>>,
-    /// The content that a rollback brings back; none for the file's value.
+    /// Content that a rollback restores; `None` for the value of the gateway's file.
     pub previous: Option<Arc<str>>,
-    /// The stages, each of which reaches every gateway of the one before; at most [`MAX_STAGES`].
+    /// The stages. Each includes all gateways of the previous one; at most [`MAX_STAGES`].
     pub stages: Vec<RolloutStage>,
-    /// Time for which a stage is applied by all that it targets before the next one begins.
+    /// Minimum time for which a stage must be applied by all its targets before the next stage begins.
     pub minimum_soak: Duration,
-    /// Gateways that may reject the version without halting the rollout.
+    /// Number of gateways that may reject the version without halting the rollout.
     pub tolerated_rejections: u64,
-    /// Longest time from a stage's beginning until it is applied by all that it targets.
+    /// Maximum time from the beginning of a stage until it is applied by all its targets.
     pub max_stage_time: Duration,
-    /// Whether a rollout that halts is rolled back at once.
+    /// Whether a halted rollout is rolled back immediately.
     pub roll_back_when_halted: bool,
 }
 
-/// Why a plan cannot be used; each names the key at fault.
+/// Reasons why a plan is invalid. Each names the invalid key.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum PlanError {
-    /// A document of it is not allowed.
+    /// The document of a stage is invalid.
     #[error("stages[{stage}]: {error}")]
     Document {
-        /// Which stage; one past the last for the version for all gateways.
+        /// Index of the stage; the number of stages for the final one for all gateways.
         stage: usize,
-        /// Why.
+        /// The reason.
         #[source]
         error: DocumentError,
     },
-    /// The content of before is not allowed.
+    /// The document of a rollback is invalid.
     #[error("previous: {0}")]
     Previous(#[source] DocumentError),
-    /// A stage does not reach a gateway of the stage before.
+    /// The stage with this index does not include all gateways of the previous stage.
     #[error("stages[{0}].targets: narrower than those of the stage before")]
     NarrowerTargets(usize),
-    /// There are too many stages.
+    /// Too many stages. Holds their number.
     #[error("stages: {0}, at most {MAX_STAGES}")]
     TooManyStages(usize),
-    /// A stage ends before it can be applied.
+    /// The maximum stage time is 0, so no stage could be applied in time.
     #[error("max_stage_time: 0, must be longer")]
     ZeroStageTime,
 }
 
 impl RolloutPlan {
-    /// Stages of these shares of all gateways, then the zones one by one.
+    /// Creates one stage per share of all gateways, then one stage per zone that adds the zone to the last share.
     pub fn stages(shares: &[f64], zones: &[String]) -> Vec<RolloutStage> {
         let widest = shares.last().copied().unwrap_or_default();
         let by_share = shares.iter().map(|share| Targets::share(*share));
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Fails at the first key that is not allowed.
+    /// Fails at the first invalid key.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.stages.len() > MAX_STAGES {
             return Err(PlanError::TooManyStages(self.stages.len()));
@@ -96,7 +96,7 @@
         self.rollback().check().map_err(PlanError::Previous)
     }
 
-    /// The document of a stage; past the last one that for all gateways.
+    /// The document of a stage. An index beyond the last stage gives the document for all gateways.
     pub fn document(&self, stage: usize) -> Document {
         Document {
             id: self.id.clone(),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The document of a rollback: a newer version with the content of before, for all gateways.
+    /// The document of a rollback: a newer version with the previous content, for all gateways.
     pub fn rollback(&self) -> Document {
         Document {
             id: self.id.clone(),
--- a/crates/distribution/src/configuration/table.rs
+++ b/crates/distribution/src/configuration/table.rs
@@ -1,40 +1,39 @@
-//! The documents that events have brought, whether or not the log still has those events.
+//! The table of received documents, independent of whether the log still has their events.
 use super::{Document, DocumentEntry, DocumentId, DocumentsEvent};
 use crate::event_number::{EventNumber, ListKind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Documents remembered at most, those withdrawn included; past it the one withdrawn first is forgotten, and without
-/// such a one the new document is ignored.
+/// Maximum number of documents, including withdrawn ones. Beyond it, the document withdrawn first is removed; if none
+/// is withdrawn, the new document is ignored.
 pub const MAX_DOCUMENTS: usize = 8192;
 
-/// Bytes of all documents remembered at most, as counted by [`Document::bytes`]; past it as past [`MAX_DOCUMENTS`].
-/// Some 6,000 documents of 300 bytes each. With 1 MiB of stores a snapshot of all still fits the 4 MiB of an event that
-/// readers take.
+/// Maximum size of all documents in bytes, as counted by [`Document::bytes`]; enforced like [`MAX_DOCUMENTS`]. Allows
+/// about 6,000 documents of 300 bytes. Together with 1 MiB of stores, a full snapshot fits the 4 MiB limit of an event.
 pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
 
-/// A version of a document, and the event that brought it.
+/// A document version and the number of its event.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct StoredDocument {
-    /// The version.
+    /// The document version.
     pub document: Document,
-    /// The number of the event that brought it, or of a later full list that does not say which one did.
+    /// Number of the event that introduced the version, or of a later full list that does not state it.
     pub number: EventNumber,
 }
 
-/// What a documents event did to a table.
+/// The effect of a documents event on a table.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TableChange {
-    /// Documents with another version than before, or none any more.
+    /// Documents whose versions have changed or were removed.
     pub changed: BTreeSet<DocumentId>,
-    /// Versions that were ignored at a bound.
+    /// Versions that were ignored because a limit was reached.
     pub ignored: Vec<StoredDocument>,
 }
 
-/// The versions of a document that are remembered.
+/// The stored versions of a document.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Versions {
     for_all: Option<StoredDocument>,
-    /// Came after the one for all.
+    /// A staged version that is not older than the one for all gateways.
     staged: Option<StoredDocument>,
 }
 
@@ -47,7 +46,8 @@
         self.iter().map(|stored| stored.document.bytes()).sum()
     }
 
-    /// Takes in a version: one for all replaces both of before, a staged one the staged one of before.
+    /// Adds a version. One for all gateways replaces both earlier versions; a staged one replaces an earlier staged
+    /// one.
     fn update(&mut self, stored: StoredDocument) {
         let is_newer = |other: &StoredDocument| other.number > stored.number;
         if self.for_all.as_ref().is_some_and(is_newer) {
@@ -62,34 +62,34 @@
         }
     }
 
-    /// The event that withdrew the document, if there is nothing else of it.
+    /// Number of the event that withdrew the document, if there is no staged version.
     fn withdrawn_by(&self) -> Option<EventNumber> {
         let withdrawn = self.for_all.as_ref().filter(|stored| stored.document.content.is_none())?;
         self.staged.is_none().then_some(withdrawn.number)
     }
 }
 
-/// Of each document the last version for all gateways and the last staged one after it, by the numbers of the events
-/// that brought them: a full list may be ahead of its own number, and the events that follow it change nothing then.
-/// An entry costs O(log n) for n documents.
+/// For each document, the latest version for all gateways and the latest staged version after it, ordered by the
+/// numbers of their events. A full list may contain versions of events after its own number; these events change
+/// nothing when they follow. An entry costs O(log n) for n documents.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct DocumentTable {
-    /// At most [`MAX_DOCUMENTS`] and [`MAX_DOCUMENT_BYTES`], see there.
+    /// Bounded by [`MAX_DOCUMENTS`] and [`MAX_DOCUMENT_BYTES`].
     documents: BTreeMap<DocumentId, Versions>,
-    /// Those that are withdrawn, by the event that withdrew them.
+    /// Withdrawn documents, by the number of the event that withdrew them.
     withdrawn: BTreeSet<(EventNumber, DocumentId)>,
     bytes: usize,
 }
 
 impl DocumentTable {
-    /// Takes in the documents of an event.
+    /// Applies the documents of an event.
     pub fn apply(&mut self, number: EventNumber, event: DocumentsEvent) -> TableChange {
         let mut change = TableChange::default();
         if event.kind == ListKind::Full {
             change.changed.extend(self.documents.keys().cloned());
             *self = DocumentTable::default();
         }
-        // A version for all replaces a staged one, so it goes first where an event has both.
+        // A version for all gateways replaces a staged one, so it is applied first if an event has both.
         let (staged, for_all): (Vec<_>, Vec<_>) =
             event.documents.into_iter().partition(|entry| entry.document.is_staged());
         for DocumentEntry { document, introduced_by } in for_all.into_iter().chain(staged) {
@@ -99,12 +99,12 @@
         change
     }
 
-    /// Documents remembered, those withdrawn included.
+    /// Number of documents, including withdrawn ones.
     pub fn len(&self) -> usize {
         self.documents.len()
     }
 
-    /// Whether no document is remembered.
+    /// Whether the table has no documents.
     pub fn is_empty(&self) -> bool {
         self.documents.is_empty()
     }
@@ -114,7 +114,7 @@
         self.bytes
     }
 
-    /// All versions remembered, by document; the one for all gateways before the staged one.
+    /// All versions, ordered by document; the version for all gateways comes before the staged one.
     pub fn iter(&self) -> impl Iterator<Item = &StoredDocument> {
         self.documents.values().flat_map(Versions::iter)
     }
@@ -124,18 +124,18 @@
         self.documents.get(id)?.for_all.as_ref()
     }
 
-    /// The version of a document for some gateways.
+    /// The staged version of a document.
     pub fn staged(&self, id: &DocumentId) -> Option<&StoredDocument> {
         self.documents.get(id)?.staged.as_ref()
     }
 
-    /// The version of a document that is for this gateway.
+    /// The version of a document that this gateway should apply.
     pub fn version_for(&self, id: &DocumentId, gateway: &str, zone: &str) -> Option<&StoredDocument> {
         let staged = self.staged(id).filter(|stored| stored.document.includes(gateway, zone));
         staged.or_else(|| self.for_all(id))
     }
 
-    /// All documents as one event; none if there are none.
+    /// All documents as one full list event; `None` if there are none.
     pub fn full_list(&self) -> Option<DocumentsEvent> {
         if self.is_empty() {
             return None;
@@ -168,7 +168,7 @@
         change.changed.insert(id);
     }
 
-    /// Forgets withdrawn documents until this one has room; returns whether it has.
+    /// Removes withdrawn documents until this one fits the limits. Returns whether it does.
     fn free_capacity(&mut self, id: &DocumentId, bytes: usize, change: &mut TableChange) -> bool {
         loop {
             let existing = self.documents.get(id);
--- a/crates/distribution/src/configuration/targets.rs
+++ b/crates/distribution/src/configuration/targets.rs
@@ -1,29 +1,29 @@
-//! Which gateways a staged version is for.
+//! The target gateways of a staged version.
 use super::document::is_name;
 use super::{DocumentError, DocumentId};
 use serde::{Deserialize, Serialize};
 use std::hash::{Hash, Hasher};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Zones of a staged version at most.
+/// Maximum number of zones of a staged version.
 pub const MAX_ZONES: usize = 1024;
 
-/// Bits of a hash that become a fraction: as many as a float represents exactly.
+/// Number of hash bits converted to a fraction: the precision of an `f64`.
 const FRACTION_BITS: u32 = 53;
 
-/// The gateways that a staged version is for: a share of all, and all of some zones.
+/// The gateways that a staged version is for: a share of all gateways, and all gateways of some zones.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Targets {
     /// Share of all gateways, from 0 to 1.
     #[serde(default)]
     pub share: f64,
-    /// Zones whose gateways are all included.
+    /// Names of zones whose gateways are all included.
     #[serde(default)]
     pub zones: Vec<String>,
 }
 
-/// The share is never NaN in targets that were checked.
+/// Validated targets never have a share of NaN, so equality is reflexive.
 impl Eq for Targets {}
 
 impl Hash for Targets {
@@ -34,23 +34,23 @@
 }
 
 impl Targets {
-    /// A share of all gateways.
+    /// Targets a share of all gateways, from 0 to 1, and no zones.
     pub fn share(share: f64) -> Targets {
         Targets { share, zones: Vec::new() }
     }
 
-    /// Whether this gateway is included. The share is drawn by document and version, so that changes do not all meet
-    /// the same gateways first, and a wider share of a version includes a narrower one.
+    /// Whether this gateway is included. The share is selected by a hash of gateway, document and version. So different
+    /// changes reach different gateways first, and a larger share of a version includes a smaller one.
     pub fn includes(&self, gateway: &str, zone: &str, id: &DocumentId, version: u64) -> bool {
         self.zones.iter().any(|name| name == zone) || rollout_fraction(gateway, id, version) < self.share
     }
 
-    /// Whether every gateway that `narrower` includes is included here as well.
+    /// Whether these targets include every gateway that `narrower` includes.
     pub fn contains(&self, narrower: &Targets) -> bool {
         self.share >= narrower.share && narrower.zones.iter().all(|zone| self.zones.contains(zone))
     }
 
-    /// Checks that the share is one and that some gateway may be included.
+    /// Checks that the share is in range, the zones are valid, and some gateway may be included.
     pub(super) fn check(&self) -> Result<(), DocumentError> {
         if !(0.0..=1.0).contains(&self.share) {
             return Err(DocumentError::Share(self.share));
@@ -68,7 +68,7 @@
     }
 }
 
-/// The place of a gateway from 0 to 1, the same on every machine.
+/// Hashes a gateway, a document and its version to a fraction from 0 to 1 that is the same on every machine.
 fn rollout_fraction(gateway: &str, id: &DocumentId, version: u64) -> f64 {
     let mut hash = Xxh3::new();
     for part in [gateway, id.kind.name(), &id.name] {
--- a/crates/distribution/src/event.rs
+++ b/crates/distribution/src/event.rs
@@ -1,4 +1,4 @@
-//! A numbered event as relays store it: its text unchanged, and what it concerns.
+//! A numbered event as relays store it: the unchanged JSON text and the subjects it concerns.
 pub use crate::event_number::{EventNumber, ListKind, FIRST_EVENT, MAX_EVENT_NUMBER};
 
 use crate::configuration::{Document, DocumentId, DocumentsEvent};
@@ -9,12 +9,12 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The digest of an event's data, by which histories are compared.
+/// Returns the XXH3 hash of an event's data. Equal digests at the same number mean equal histories.
 pub fn digest(data: &str) -> u64 {
     xxh3_64(data.as_bytes())
 }
 
-/// What an event concerns: a later event about the same subject replaces an earlier one.
+/// The subject of an event. A later event about the same subject replaces an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
     /// A purge of an object.
@@ -25,29 +25,29 @@
     StoreList,
     /// One store of the list, by its host name.
     Store(String),
-    /// All documents that there are.
+    /// The full list of documents.
     DocumentList,
-    /// The version of a document for all gateways. A later one replaces a staged one as well.
+    /// The version of a document for all gateways. It replaces earlier staged versions as well.
     Document(DocumentId),
-    /// The version of a document for some gateways.
+    /// A staged version of a document, for some gateways only.
     StagedDocument(DocumentId),
 }
 
-/// Bytes of an index entry about a store or a document beside its name.
+/// Bytes counted for an index entry of a store or a document, excluding its name.
 const INDEX_ENTRY_BYTES: usize = 64;
 
 impl Subject {
-    /// Whether it is a document, or all of them.
+    /// Whether the subject is a document or the full list of documents.
     pub fn is_document(&self) -> bool {
         matches!(self, Subject::DocumentList | Subject::Document(_) | Subject::StagedDocument(_))
     }
 
-    /// Whether it is a purge.
+    /// Whether the subject is a purged object or group.
     pub fn is_purge(&self) -> bool {
         matches!(self, Subject::Object(_) | Subject::Group(_))
     }
 
-    /// Bytes that the subject takes beside its own size, for bounds on memory.
+    /// Bytes counted for the subject's name and index entries; 0 for subjects without a name. Used for memory limits.
     pub fn name_bytes(&self) -> usize {
         match self {
             Subject::Store(host) => 2 * (host.len() + INDEX_ENTRY_BYTES),
@@ -57,32 +57,32 @@
     }
 }
 
-/// Why the text of an event cannot be used.
+/// Reasons why an event's text is rejected.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// It is not JSON of the expected form.
-    #[error("an event cannot be read: {0}")]
+    /// The text is not JSON of the expected form.
+    #[error("malformed event: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// An object's name is not hexadecimal.
-    #[error("item: {0:?} is no object")]
+    /// The object's name is not a hexadecimal number.
+    #[error("item: {0:?} is not a hexadecimal object number")]
     ObjectName(String),
-    /// The number is past [`MAX_EVENT_NUMBER`].
-    #[error("no: {0} is past {MAX_EVENT_NUMBER}")]
+    /// The number exceeds [`MAX_EVENT_NUMBER`].
+    #[error("no: {0} exceeds {MAX_EVENT_NUMBER}")]
     NumberTooLarge(EventNumber),
 }
 
-/// An event as it came.
+/// An event as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its number.
+    /// Position in the history, from [`FIRST_EVENT`] on.
     pub number: EventNumber,
-    /// Its JSON text, unchanged.
+    /// The event's JSON text, unchanged.
     pub data: Arc<str>,
-    /// What it concerns; none for what is not known here, which is forwarded all the same.
+    /// The subjects it concerns; empty for an unknown kind of event, which is forwarded as well.
     pub subjects: Vec<Subject>,
-    /// For a purge: when it was issued.
+    /// When the purge was issued; absent for other events.
     pub issued: Option<UnixMicros>,
-    /// Hash of the text: two histories that differ at a number have different digests there.
+    /// Hash of `data`. Two histories that differ at this number have different digests.
     pub digest: u64,
 }
 
@@ -136,7 +136,7 @@
     }
 }
 
-/// The subjects of an event's documents; those of versions for all come first, for they replace staged ones.
+/// The subjects of an event's documents. Versions for all gateways come first because they replace staged ones.
 fn document_subjects(data: &str) -> Vec<Subject> {
     let Ok(Some(event)) = DocumentsEvent::read(data) else { return Vec::new() };
     if event.kind == ListKind::Full {
@@ -149,22 +149,22 @@
 }
 
 impl Event {
-    /// Whether it carries stores: the full list or entries of it.
+    /// Whether the event carries the store list or entries of it.
     pub fn has_stores(&self) -> bool {
         self.subjects.iter().any(|subject| matches!(subject, Subject::StoreList | Subject::Store(_)))
     }
 
-    /// Whether it carries documents that can be read.
+    /// Whether the event carries readable documents.
     pub fn has_documents(&self) -> bool {
         self.subjects.iter().any(Subject::is_document)
     }
 
-    /// Reads the text of an event: `no` with `roster`, `recall`, `documents`, or what is not known here. Documents that
-    /// cannot be read are forwarded like what is not known: they replace nothing.
+    /// Parses an event: `no` with `roster`, `recall`, `documents` or unknown keys. Documents that cannot be read are
+    /// treated like unknown keys: they have no subject and replace nothing.
     ///
     /// # Errors
     ///
-    /// Fails if the text is not JSON of this form, or holds a number or name that is not valid.
+    /// Fails if the text is not JSON of this form, or if its number or object name is invalid.
     pub fn read(data: &str) -> Result<Event, EventError> {
         let form: EventForm = serde_json::from_str(data).map_err(EventError::Malformed)?;
         let number = form.number;
--- a/crates/distribution/src/events_file.rs
+++ b/crates/distribution/src/events_file.rs
@@ -1,35 +1,35 @@
-//! The operator file by which a gateway takes its events from relays.
+//! The operator file that configures a gateway to get its events from relays.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Lag allowed, ms: a heartbeat comes each second, and is a part of a second under way.
+/// Range of `lag_ms`. The minimum exceeds the heartbeat interval of 1 s plus the transmission delay.
 const LAG_MS: RangeInclusive<u64> = 1_200..=60_000;
-/// Relays named at most.
+/// Maximum number of relays.
 const MAX_RELAYS: usize = 64;
 
-/// The file of the events under `deploy/`. Its schema is printed by `larchway schema events`.
+/// The events file under `deploy/`. `larchway schema events` prints its schema.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct EventsFile {
-    /// Addresses of the relays, with their ports; they take the place of the configuration's `bulletin`. Each gateway
-    /// asks them in an order of its own.
+    /// Addresses of the relays, with ports. They replace the configuration's `bulletin`. Each gateway tries them in its
+    /// own order.
     pub relays: Vec<SocketAddr>,
-    /// The scope, of those that the relays know, to which the list of stores is reduced; without it, all are sent.
+    /// Name of a scope configured at the relays, to which the store list is reduced. Without it, all stores are sent.
     pub scope: Option<String>,
-    /// Whether the events come compressed.
+    /// Whether events are transferred with gzip compression.
     #[serde(default = "enabled")]
     pub gzip: bool,
-    /// Whether the gateway reports to the relays how far it has applied the events.
+    /// Whether the gateway reports its position, the last event it has applied, to the relays.
     #[serde(default = "enabled")]
     pub report: bool,
-    /// How old what is known of the events may be, in ms, from 1200 to 60000. Past it the gateway answers from no copy
-    /// of its own, and asks stores for copies that are younger than a purge takes to be done everywhere.
+    /// Maximum age of the gateway's event state in ms, from 1200 to 60000. Beyond it, the gateway does not serve its
+    /// own cached copies, and asks stores for copies younger than the time within which a purge is done everywhere.
     #[serde(default = "lag_ms")]
     pub lag_ms: u64,
-    /// Whether documents of configuration that come as events stand over the gateway's own file.
+    /// Whether configuration documents received as events override the gateway's own configuration file.
     #[serde(default)]
     pub configuration: bool,
 }
@@ -42,35 +42,35 @@
     1_500
 }
 
-/// Why a file of the events cannot be used.
+/// Reasons why an events file is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EventsFileError {
-    /// There is no relay, or there are too many.
+    /// The number of relays is 0 or too large.
     #[error("relays: there are {count}, not from 1 to {MAX_RELAYS}")]
     RelayCount {
-        /// How many there are.
+        /// Number of relays.
         count: usize,
     },
-    /// A relay is named more than once.
+    /// A relay is listed more than once.
     #[error("relays: {0} stands twice")]
     RepeatedRelay(SocketAddr),
-    /// The name of the scope is empty, or has other characters than those allowed.
+    /// The scope name is empty or has invalid characters.
     #[error("scope: {0:?} must be letters, digits, '.', '_' or '-'")]
     ScopeName(String),
-    /// The lag is out of its range.
+    /// The maximum lag is out of range.
     #[error("lag_ms: {lag_ms} is not from {} to {}", LAG_MS.start(), LAG_MS.end())]
     LagOutOfRange {
-        /// Its value.
+        /// The configured value in ms.
         lag_ms: u64,
     },
 }
 
 impl EventsFile {
-    /// Checks that each value can be used.
+    /// Validates all values.
     ///
     /// # Errors
     ///
-    /// Names the first key whose value cannot be used.
+    /// Fails at the first key with an invalid value.
     pub fn check(&self) -> Result<(), EventsFileError> {
         let count = self.relays.len();
         if !(1..=MAX_RELAYS).contains(&count) {
@@ -88,14 +88,14 @@
         Ok(())
     }
 
-    /// The first relay that is named before already.
+    /// The first relay that repeats an earlier one.
     fn repeated_relay(&self) -> Option<SocketAddr> {
         let mut relays = self.relays.iter().enumerate();
         relays.find(|(index, relay)| self.relays[..*index].contains(relay)).map(|(_, relay)| *relay)
     }
 }
 
-/// Whether a text is a scope's name: letters, digits, `.`, `_` or `-`.
+/// Whether a text is a valid scope name: one or more letters, digits, `.`, `_` or `-`.
 fn is_scope_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     !text.is_empty() && text.bytes().all(allowed)
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,5 +1,5 @@
-//! How numbered events (purges, the list of stores, documents) reach all gateways, and how it is known that they did
-//! (`docs/design/event-distribution.md`). No I/O; the clock is an argument.
+//! Distribution of numbered events (purges, store list changes, configuration documents) to all gateways, and tracking
+//! of which events they have applied (`docs/design/event-distribution.md`). Performs no I/O; callers pass in the time.
 pub mod batch;
 pub mod configuration;
 pub mod event;
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -1,4 +1,4 @@
-//! The ordered, bounded, compacted log of events that a relay holds.
+//! The ordered, bounded and compacted event log of a relay.
 mod results;
 mod slot;
 mod subject_index;
@@ -14,21 +14,21 @@
 use std::collections::VecDeque;
 use subject_index::SubjectIndex;
 
-/// Bounds of an [`EventLog`]; past either the oldest events are evicted.
+/// Limits of an [`EventLog`]. The oldest events are evicted when either is exceeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogLimits {
-    /// Numbers in the log's range at most, those of replaced events included.
+    /// Maximum number of events in the log's range, including replaced ones.
     pub events: usize,
-    /// Bytes at most, as counted by [`EventLog::bytes`].
+    /// Maximum size in bytes, as counted by [`EventLog::bytes`].
     pub bytes: usize,
 }
 
-/// The ordered log. An append costs O(log n) for n events, amortized.
+/// An ordered event log. An append costs amortized O(log n) for n events.
 #[derive(Debug)]
 pub struct EventLog {
     limits: LogLimits,
     base: Base,
-    /// Bounded by `limits`; the oldest is evicted.
+    /// One slot per event number. Bounded by `limits`; the oldest slots are evicted.
     slots: VecDeque<Slot>,
     subjects: SubjectIndex,
     bytes: usize,
@@ -37,7 +37,7 @@
 }
 
 impl EventLog {
-    /// An empty log: the next event is number 1.
+    /// Creates an empty log, whose next event is number 1.
     pub fn new(limits: LogLimits) -> EventLog {
         EventLog {
             limits,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Number of the oldest event in the log's range; one more than [`EventLog::last`] if there is none.
+    /// Number of the oldest event in the log's range; one more than [`EventLog::last`] if the range is empty.
     pub fn first(&self) -> EventNumber {
         self.base.number + 1
     }
@@ -60,39 +60,39 @@
         self.base.number + self.slots.len() as EventNumber
     }
 
-    /// Bytes counted: texts, [`EVENT_OVERHEAD`] for each event, [`PLACEHOLDER_BYTES`] for each one replaced.
+    /// Counted size in bytes: text, names and [`EVENT_OVERHEAD`] per event, [`PLACEHOLDER_BYTES`] per replaced event.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Numbers in the log's range.
+    /// Number of events in the log's range, including replaced ones.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether no event is in the log's range.
+    /// Whether the log's range is empty.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// The list of stores after the last event.
+    /// The store list as of the last event.
     pub fn stores(&self) -> &StoreList {
         &self.stores
     }
 
-    /// The documents after the last event, those included whose events are not in the log's range any more.
+    /// The documents as of the last event, including those whose events are no longer in the log's range.
     pub fn documents(&self) -> &DocumentTable {
         &self.documents
     }
 
-    /// The full list of the stores that pass `filter`, and all documents, as one event; none while the list is not
-    /// complete.
+    /// Serializes the stores that pass `filter` and all documents as one event. Returns `None` while the store list is
+    /// incomplete.
     pub fn snapshot(&self, number: EventNumber, filter: impl Fn(&StoreEntry) -> bool) -> Option<String> {
         let documents = self.documents.full_list().map(|event| event.json());
         self.stores.snapshot(number, filter, documents.as_deref())
     }
 
-    /// The event of this number, if it is in the log's range.
+    /// The event with this number, if it is in the log's range.
     pub fn get(&self, number: EventNumber) -> Option<LogEntry<'_>> {
         Some(match self.slot(number)? {
             Slot::Current(current) => LogEntry::Current(&current.event),
@@ -100,7 +100,7 @@
         })
     }
 
-    /// The event of this number, if it is in the log's range and not replaced.
+    /// The event with this number, if it is in the log's range and has not been replaced.
     pub fn current(&self, number: EventNumber) -> Option<&Event> {
         match self.slot(number)? {
             Slot::Current(current) => Some(&current.event),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether the event of this number, in the log's range or the last before it, carried stores.
+    /// Whether the event with this number carried stores. Known for the log's range and for the event before it.
     pub fn has_stores(&self, number: EventNumber) -> bool {
         match self.slot(number) {
             Some(slot) => slot.has_stores(),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The digest of this event's data as the source sent it, if the log has seen that.
+    /// The digest of this event's data as sent by the source, if known.
     pub fn digest(&self, number: EventNumber) -> Option<u64> {
         match self.base.digest {
             BaseDigest::Event(digest) if number == self.base.number => Some(digest),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Compares a subscriber's digest of an event with the log's.
+    /// Compares a subscriber's digest of an event with the log's digest.
     pub fn check_history(&self, number: EventNumber, digest: u64) -> HistoryCheck {
         match (self.base.digest, self.digest(number)) {
             (BaseDigest::Snapshot(stored), _) if number == self.base.number && stored == digest => {
@@ -136,11 +136,11 @@
         }
     }
 
-    /// Adds the next event, replaces what it replaces, and evicts the oldest past the bounds.
+    /// Appends the next event, marks the events it replaces, and evicts the oldest events beyond the limits.
     ///
     /// # Errors
     ///
-    /// Fails if events are missing before this one, or if it differs from the one of its number in the log.
+    /// Fails if events before this one are missing, or if the log has a different event with this number.
     pub fn append(&mut self, event: Event) -> Result<Appended, AppendError> {
         let expected = self.last() + 1;
         if event.number > expected {
@@ -154,12 +154,12 @@
         Ok(Appended::Stored { replaced, evicted })
     }
 
-    /// Starts anew after a gap, with the first event that came after it. What was before is out of the log.
+    /// Restarts the log after a gap with the first event that followed it, and drops all earlier events.
     pub fn restart_at(&mut self, event: Event) {
         self.slots.clear();
         self.subjects.clear();
         self.bytes = 0;
-        // Without a full list there are no documents before this event: a gateway takes it so as well.
+        // Without a full list, the documents from before the gap are dropped, as on gateways.
         self.documents = DocumentTable::default();
         let list = ListEvent::read(&event.data);
         if let Some(list) = list.filter(|list| list.kind == ListKind::Full) {
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Adds an event as the last one. Returns the earlier events looked at.
+    /// Adds an event at the end. Returns the number of earlier events touched.
     fn push(&mut self, event: Event) -> usize {
         if event.has_stores() {
             self.apply_list(&event);
@@ -222,11 +222,12 @@
         }
     }
 
-    /// Records the last event about a subject and takes the subject from the one before. Returns the events touched.
+    /// Records the latest event about a subject and removes the subject from the previous one. Returns the number of
+    /// earlier events touched.
     fn replace(&mut self, subject: Subject, number: EventNumber) -> usize {
         let mut touched = self.replace_narrower(&subject);
         if let Some(earlier) = self.subjects.get(&subject) {
-            // A purge that was issued before the one recorded does not cover it.
+            // A purge that was issued before the recorded one does not replace it.
             let is_covered = !subject.is_purge() || self.issued(earlier) <= self.issued(number);
             if earlier == number || !is_covered {
                 return touched;
@@ -238,8 +239,8 @@
         touched
     }
 
-    /// Replaces the entries that a subject covers beside itself: a full list all before it, a document's version for
-    /// all gateways the staged one. Each entry is dropped once for its one append.
+    /// Drops the narrower subjects that this subject includes: a full list includes all earlier entries, a document
+    /// version for all gateways includes the staged one. Each entry is dropped once, so the amortized cost is O(log n).
     fn replace_narrower(&mut self, subject: &Subject) -> usize {
         let entries = match subject {
             Subject::StoreList => self.subjects.take_stores(),
@@ -266,7 +267,7 @@
         self.bytes -= slot.drop_subject();
     }
 
-    /// Evicts the oldest events past the bounds; the last one always stays. Returns how many.
+    /// Evicts the oldest events beyond the limits but always keeps the last event. Returns the number evicted.
     fn evict(&mut self) -> usize {
         let mut evicted = 0;
         while self.slots.len() > 1
--- a/crates/distribution/src/log/results.rs
+++ b/crates/distribution/src/log/results.rs
@@ -1,54 +1,54 @@
-//! What the operations of an [`EventLog`](super::EventLog) return.
+//! Result types of [`EventLog`](super::EventLog) operations.
 use crate::event::{Event, EventNumber};
 use thiserror::Error;
 
-/// What an append did.
+/// The outcome of a successful append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Appended {
-    /// The event is the log's last.
+    /// The event was stored as the log's last event.
     Stored {
-        /// Earlier events looked at because they concern the same subjects.
+        /// Number of earlier events touched because they concern the same subjects.
         replaced: usize,
-        /// Events evicted at the bound.
+        /// Number of events evicted because a limit was exceeded.
         evicted: usize,
     },
-    /// The log has this event already, or has evicted it.
+    /// The log already has this event, or has evicted it.
     Duplicate,
 }
 
-/// Why an event was not appended. The log is unchanged.
+/// Reasons why an event was not appended. The log is unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum AppendError {
-    /// The log has an event with other text at this number: the source has another history.
+    /// The log has a different event with this number, so the source has a different history.
     #[error("event {number} differs from the one in the log")]
     OtherHistory {
         /// The number at which the histories differ.
         number: EventNumber,
     },
-    /// Events are missing before this one.
-    #[error("events are missing from {expected} on")]
+    /// Events before this one are missing.
+    #[error("events missing from number {expected} on")]
     Gap {
-        /// The number that would have come next.
+        /// The number of the first missing event.
         expected: EventNumber,
     },
 }
 
-/// Whether a subscriber's history is the log's.
+/// The result of comparing a subscriber's history with the log's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HistoryCheck {
-    /// The digests are the same.
+    /// The digests match.
     Same,
-    /// They differ.
+    /// The digests differ.
     Other,
-    /// The log does not know the digest of this event.
+    /// The log has no digest of this event.
     Unknown,
 }
 
-/// An event in the log, as read.
+/// An event number in the log's range, as read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogEntry<'a> {
-    /// The event, not replaced.
+    /// The event, which no later event has replaced.
     Current(&'a Event),
-    /// Replaced by a later one.
+    /// The event was replaced by a later one.
     Replaced,
 }
--- a/crates/distribution/src/log/slot.rs
+++ b/crates/distribution/src/log/slot.rs
@@ -1,38 +1,38 @@
-//! The slots of an event log: one for each event number in its range, and the event before the first.
+//! The slots of an event log: one per event number in its range, and the base event before the range.
 use crate::batch::placeholder;
 use crate::event::{Event, EventNumber, Subject};
 use std::collections::BTreeSet;
 
-/// Bytes counted for each event in the log's range beside its text: the slot, the event, its subjects' index.
+/// Bytes counted per event in addition to its text and names: the slot, the event and its index entries.
 pub const EVENT_OVERHEAD: usize = 256;
 
-/// Bytes counted for an event that a later one has replaced.
+/// Bytes counted for a replaced event.
 pub const PLACEHOLDER_BYTES: usize = std::mem::size_of::<Slot>();
 
-/// An event number in the log's range.
+/// The state of an event number in the log's range.
 #[derive(Debug)]
 pub(super) enum Slot {
-    /// The event, not replaced yet.
+    /// The event has not been replaced.
     Current(Box<CurrentEvent>),
     /// A later event has replaced it.
     Replaced {
-        /// None if it was replaced already when it came.
+        /// Digest of the event's data; absent if the event was received as a placeholder.
         digest: Option<u64>,
-        /// Whether it carried stores, whose text differs between scopes.
+        /// Whether the event carried stores. Their text, and so the digest, differs between scopes.
         has_stores: bool,
     },
 }
 
-/// An event that no later one has replaced.
+/// An event that has not been replaced.
 #[derive(Debug)]
 pub(super) struct CurrentEvent {
     pub event: Event,
-    /// Subjects that no later event concerns; at 0 the event is replaced.
+    /// Number of subjects without a later event. The event is replaced when it reaches 0.
     pub subject_count: usize,
 }
 
 impl Slot {
-    /// The slot of an event that has just come.
+    /// Creates the slot of a newly received event.
     pub(super) fn new(event: Event) -> Slot {
         if is_placeholder(&event) {
             return Slot::Replaced { digest: None, has_stores: false };
@@ -41,7 +41,7 @@
         Slot::Current(Box::new(CurrentEvent { event, subject_count }))
     }
 
-    /// Bytes counted for the slot.
+    /// Bytes counted for the event and its slot.
     pub(super) fn bytes(&self) -> usize {
         match self {
             Slot::Current(current) => event_bytes(&current.event),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The digest of the event's data; none if it came as a placeholder.
+    /// The digest of the event's data; absent if the event was received as a placeholder.
     pub(super) fn digest(&self) -> Option<u64> {
         match self {
             Slot::Current(current) => Some(current.event.digest),
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Takes one subject from the event, which a later event concerns; without its last one it is replaced. Returns the
-    /// bytes freed.
+    /// Removes one subject because a later event concerns it. The event is replaced when its last subject is removed.
+    /// Returns the number of bytes freed.
     pub(super) fn drop_subject(&mut self) -> usize {
         let Slot::Current(current) = self else { return 0 };
         current.subject_count -= 1;
@@ -79,34 +79,34 @@
     }
 }
 
-/// The event before the log's range.
+/// The last event before the log's range.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Base {
     pub number: EventNumber,
     pub digest: BaseDigest,
-    /// Whether it carried stores.
+    /// Whether the event carried stores.
     pub has_stores: bool,
 }
 
-/// What is known of the data of the event before the log's range.
+/// The known digest of the last event before the log's range.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) enum BaseDigest {
-    /// Nothing.
+    /// The digest is unknown.
     #[default]
     Unknown,
     /// The digest of the event's data.
     Event(u64),
-    /// The digest of a snapshot's data, which differs between relays.
+    /// The digest of a snapshot's data. It differs between relays, so a mismatch does not mean a different history.
     Snapshot(u64),
 }
 
-/// Bytes counted for an event.
+/// Bytes counted for an event that has not been replaced.
 fn event_bytes(event: &Event) -> usize {
     let names: usize = event.subjects.iter().map(Subject::name_bytes).sum();
     event.data.len() + EVENT_OVERHEAD + names
 }
 
-/// Whether the event came as the placeholder of one that was replaced further up.
+/// Whether the event is a placeholder for one that was already replaced upstream.
 pub(super) fn is_placeholder(event: &Event) -> bool {
     event.subjects.is_empty() && *event.data == *placeholder(event.number)
 }
--- a/crates/distribution/src/log/subject_index.rs
+++ b/crates/distribution/src/log/subject_index.rs
@@ -1,21 +1,21 @@
-//! The last event about each subject.
+//! Index of the latest event about each subject.
 use crate::event::{EventNumber, Subject};
 use std::collections::BTreeMap;
 
-/// The last event about each subject in an event log. Single stores and documents are apart, for a full list replaces
-/// them all.
+/// The latest event about each subject in an event log. Stores and documents have their own tables because a full list
+/// replaces all of them.
 #[derive(Debug, Default)]
 pub(super) struct SubjectIndex {
-    /// All subjects but single stores and documents; no more entries than subjects in the log's range.
+    /// Subjects other than stores and documents. Bounded by the number of subjects in the log's range.
     others: BTreeMap<Subject, EventNumber>,
-    /// Single stores since the last full list; bounded as `others`.
+    /// Stores since the last full list. Bounded like `others`.
     stores: BTreeMap<Subject, EventNumber>,
-    /// Single documents since the last full list; bounded as `others`.
+    /// Documents since the last full list. Bounded like `others`.
     documents: BTreeMap<Subject, EventNumber>,
 }
 
 impl SubjectIndex {
-    /// The last event about a subject.
+    /// The number of the latest event about a subject.
     pub(super) fn get(&self, subject: &Subject) -> Option<EventNumber> {
         let table = match subject {
             Subject::Store(_) => &self.stores,
@@ -25,12 +25,12 @@
         table.get(subject).copied()
     }
 
-    /// Sets the last event about a subject.
+    /// Sets the latest event about a subject.
     pub(super) fn insert(&mut self, subject: Subject, number: EventNumber) {
         self.table(&subject).insert(subject, number);
     }
 
-    /// Removes a subject, if this event is the last about it.
+    /// Removes a subject if the event with this number is the latest about it.
     pub(super) fn remove(&mut self, subject: &Subject, number: EventNumber) {
         let table = self.table(subject);
         if table.get(subject) == Some(&number) {
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Removes a subject and returns the last event about it.
+    /// Removes a subject and returns the number of the latest event about it.
     pub(super) fn take(&mut self, subject: &Subject) -> Option<EventNumber> {
         self.table(subject).remove(subject)
     }
 
-    /// Removes all single stores and returns the last event about each.
+    /// Removes all stores and returns the number of the latest event about each.
     pub(super) fn take_stores(&mut self) -> Vec<EventNumber> {
         std::mem::take(&mut self.stores).into_values().collect()
     }
 
-    /// Removes all single documents and returns the last event about each.
+    /// Removes all documents and returns the number of the latest event about each.
     pub(super) fn take_documents(&mut self) -> Vec<EventNumber> {
         std::mem::take(&mut self.documents).into_values().collect()
     }
--- a/crates/distribution/src/positions.rs
+++ b/crates/distribution/src/positions.rs
@@ -1,4 +1,4 @@
-//! How far the gateways have applied the events: reports that go up the tree of relays, constant in size.
+//! Aggregation of how far gateways have applied the events, reported up the tree of relays in reports of constant size.
 mod report;
 
 pub use report::{PositionReport, Straggler, MAX_NAME_BYTES, MAX_STRAGGLERS};
@@ -10,22 +10,22 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Bounds of [`Positions`].
+/// Limits of [`Positions`].
 #[derive(Debug, Clone, Copy)]
 pub struct PositionLimits {
-    /// Time for which a subscriber that is gone is counted as lost.
+    /// Time for which a disconnected subscriber is counted as lost.
     pub lost_retention: Duration,
-    /// Lost subscribers held at most; past it the one lost first is dropped.
+    /// Maximum number of lost subscribers; the one lost first is dropped beyond it.
     pub max_lost: usize,
-    /// Advances of the minimum held at most; past it the oldest is dropped.
+    /// Maximum number of remembered advances of the minimum position; the oldest is dropped beyond it.
     pub max_advances: usize,
 }
 
-/// The key of a subscriber in [`Positions`].
+/// Identifies a subscriber's report in [`Positions`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum ReporterKey {
     Connected(u64),
-    /// By order of loss.
+    /// A lost subscriber, by its index in order of loss.
     Lost(u64),
 }
 
@@ -36,56 +36,56 @@
 }
 
 impl ReporterEntry {
-    /// Whether it is a gateway's own report, not that of a relay.
+    /// Whether the report is a gateway's own and not a relay's.
     fn is_gateway(&self) -> bool {
         let own_name = self.report.furthest.first().map(|straggler| straggler.name.as_str());
         self.report.gateways == 1 && own_name == self.name.as_deref()
     }
 }
 
-/// A subscriber that is gone.
+/// A subscriber that has disconnected.
 #[derive(Debug, Clone, Copy)]
 struct LostSubscriber {
     lost_at: MonotonicTime,
-    /// Gateways that were connected before it was lost.
+    /// Number of gateways connected before this subscriber was lost.
     gateways_before: u64,
 }
 
-/// An advance of the minimum over all gateways.
+/// An advance of the minimum position over all gateways.
 #[derive(Debug, Clone, Copy)]
 struct Advance {
     applied: EventNumber,
     reached_at: MonotonicTime,
 }
 
-/// The last report of each subscriber, and what they say together. A report costs O(log n) for n subscribers.
+/// The last report of each subscriber and their aggregate. A report costs O(log n) for n subscribers.
 #[derive(Debug)]
 pub struct Positions {
     limits: PositionLimits,
-    /// At most one a subscriber connected, and `PositionLimits::max_lost` others.
+    /// At most one entry per connected subscriber and `PositionLimits::max_lost` lost ones.
     entries: BTreeMap<ReporterKey, ReporterEntry>,
-    /// All entries that count gateways, by their minimum.
+    /// Entries with at least one gateway, by their minimum position.
     by_applied: BTreeSet<(EventNumber, ReporterKey)>,
-    /// Those that are gone, in order of loss; at most `PositionLimits::max_lost`.
+    /// Lost subscribers in order of loss; at most `PositionLimits::max_lost`.
     lost: BTreeMap<u64, LostSubscriber>,
-    /// Of those that have not returned, the one lost last under each name.
+    /// For each name, the last lost subscriber that has not returned.
     lost_by_name: BTreeMap<String, u64>,
-    /// Relays in `lost` that have returned while some of their gateways had not reported again, by the gateways
-    /// that were connected before the relay was lost.
+    /// Relays in `lost` that have returned before all of their gateways reported again. Each is stored as the number of
+    /// gateways connected before the relay was lost, and the relay's loss index.
     returned: BTreeSet<(u64, u64)>,
     next_lost: u64,
     gateways: u64,
     gateways_lost: u64,
-    /// Advances of the minimum, oldest first; at most `PositionLimits::max_advances`.
+    /// Advances of the minimum position, oldest first; at most `PositionLimits::max_advances`.
     advances: VecDeque<Advance>,
-    /// What the entries reject, taken out of their reports.
+    /// The rejections of all entries, moved out of their reports.
     rejections: RejectionTotals<ReporterKey>,
-    /// The last advance dropped: when events up to it were applied everywhere is not known any more.
+    /// Position of the last dropped advance. The times at which events up to it were applied are no longer known.
     evicted_up_to: EventNumber,
 }
 
 impl Positions {
-    /// No reports yet.
+    /// Creates an aggregate without reports.
     pub fn new(limits: PositionLimits) -> Positions {
         Positions {
             limits,
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Takes in a subscriber's report. A gateway of the same name that is lost counts as this one from now on; of a
-    /// relay, those of its gateways that have not reported again stay counted as lost.
+    /// Records a subscriber's report. It replaces a lost gateway of the same name. If a relay of the same name is lost,
+    /// that relay's gateways stay counted until as many gateways are connected as before the loss.
     pub fn report(
         &mut self,
         now: MonotonicTime,
@@ -126,7 +126,8 @@
         self.record_advance(now);
     }
 
-    /// A subscriber has disconnected: its gateways count as lost, with their last position, for a bounded time.
+    /// Records that a subscriber has disconnected. Its gateways count as lost, with their last position, until the
+    /// retention time has passed.
     pub fn disconnected(&mut self, now: MonotonicTime, subscriber: u64) {
         let gateways_before = self.connected_gateways();
         let Some(mut entry) = self.remove(ReporterKey::Connected(subscriber)) else { return };
@@ -146,7 +147,7 @@
         self.expire(now);
     }
 
-    /// Drops those that have been lost for long enough, or are too many.
+    /// Drops lost subscribers whose retention time has passed or that exceed the limit.
     pub fn expire(&mut self, now: MonotonicTime) {
         while let Some((&loss_index, &LostSubscriber { lost_at, .. })) = self.lost.first_key_value() {
             let expired = lost_at + self.limits.lost_retention <= now;
@@ -158,12 +159,12 @@
         self.record_advance(now);
     }
 
-    /// When the next lost subscriber is dropped.
+    /// Time at which the next lost subscriber expires; `None` if none is lost.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         self.lost.first_key_value().map(|(_, lost)| lost.lost_at + self.limits.lost_retention)
     }
 
-    /// What all reports say together.
+    /// Combines all reports into one.
     pub fn aggregate(&self) -> PositionReport {
         let mut furthest: Vec<Straggler> = Vec::new();
         for (_, key) in self.by_applied.iter().take(MAX_STRAGGLERS) {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Whether a version of a document is applied by all gateways: all are past its event, and none rejects it.
+    /// Whether all gateways have applied a document version: all have reached its event, and none rejects it.
     pub fn is_document_applied(
         &self,
         number: EventNumber,
@@ -194,7 +195,8 @@
         all_past && self.rejections.has_no_rejection_of(id, version)
     }
 
-    /// Since when the event is known to be applied by every gateway; none if it is not, or if the time was dropped.
+    /// Time since which every gateway is known to have applied the event; `None` if some have not, or if the time was
+    /// dropped.
     pub fn applied_everywhere_at(&self, number: EventNumber) -> Option<MonotonicTime> {
         if number <= self.evicted_up_to {
             return None;
@@ -203,12 +205,12 @@
         self.advances.get(index).map(|advance| advance.reached_at)
     }
 
-    /// Subscribers with a report, those lost included.
+    /// Number of subscribers with a report, including lost ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no report.
+    /// Whether there are no reports.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -219,7 +221,7 @@
 
     fn record_advance(&mut self, now: MonotonicTime) {
         let Some(applied) = self.minimum() else { return };
-        // A gateway that appears with an older position has not applied what the others have.
+        // A gateway that joins with an older position lowers the minimum again.
         while self.advances.back().is_some_and(|advance| advance.applied > applied) {
             self.advances.pop_back();
         }
@@ -235,13 +237,13 @@
         }
     }
 
-    /// Gateways counted that are not lost.
+    /// Number of gateways that are not lost.
     fn connected_gateways(&self) -> u64 {
         self.gateways - self.gateways_lost
     }
 
-    /// A lost subscriber has returned. Danger: the gateways of a relay may have turned elsewhere, and one that has not
-    /// reported there yet would be counted nowhere; events would be done without it.
+    /// Handles the return of a lost subscriber. A lost relay's report is retained: its gateways may have moved to another
+    /// relay without having reported there yet, and events would count as applied everywhere without them.
     fn on_return(&mut self, loss_index: u64) {
         if self.entries.get(&ReporterKey::Lost(loss_index)).is_none_or(ReporterEntry::is_gateway) {
             self.remove_lost(loss_index);
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Drops relays that have returned, once as many gateways are connected as before they were lost.
+    /// Drops the reports of returned relays once as many gateways are connected as before the loss.
     fn drop_returned(&mut self) {
         let connected = self.connected_gateways();
         while let Some(&(_, loss_index)) = self.returned.first().filter(|(before, _)| *before <= connected) {
--- a/crates/distribution/src/positions/report.rs
+++ b/crates/distribution/src/positions/report.rs
@@ -1,57 +1,57 @@
-//! What gateways and relays report of the events applied: constant in size at each level of the tree.
+//! Position reports of gateways and relays. Their size is bounded at each level of the tree.
 use crate::configuration::{
     GatewayDocuments, Observation, RejectedVersion, Rejection, ReportedRejections, MAX_GATEWAY_NAME_BYTES,
 };
 use crate::event::EventNumber;
 use serde::{Deserialize, Serialize};
 
-/// Gateways named in a report: those that are furthest behind.
+/// Maximum number of gateways named in a report: those furthest behind.
 pub const MAX_STRAGGLERS: usize = 5;
 
-/// Bytes of a gateway's name in a report at most; longer ones are cut.
+/// Maximum length of a gateway's name in a report, in bytes; longer names are truncated.
 pub const MAX_NAME_BYTES: usize = MAX_GATEWAY_NAME_BYTES;
 
-/// Gateways counted for one report at most: a report that says more is wrong, and must not make the sums overflow.
+/// Maximum number of gateways counted for one report. A larger number is invalid and could overflow the sums.
 const MAX_GATEWAYS_PER_REPORT: u64 = 1 << 32;
 
-/// A gateway and how far it has applied the events.
+/// A gateway and its position.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Straggler {
     /// Name of the gateway.
     pub name: String,
-    /// Its last event applied.
+    /// The last event it has applied.
     pub applied: EventNumber,
 }
 
-/// How far all gateways below a relay, or one gateway, have applied the events.
+/// How far one gateway, or all gateways below a relay, have applied the events.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PositionReport {
-    /// Every gateway has applied all events up to this one. Without meaning if there are no gateways.
+    /// Every gateway has applied all events up to this one. Meaningless if `gateways` is 0.
     pub applied: EventNumber,
-    /// Gateways counted in `applied`, those lost included.
+    /// Number of gateways counted in `applied`, including lost ones.
     pub gateways: u64,
-    /// Gateways that are gone, counted with their last position for a bounded time.
+    /// Number of disconnected gateways, counted with their last position until the retention time has passed.
     pub lost: u64,
-    /// The gateways furthest behind, the furthest first; at most [`MAX_STRAGGLERS`].
+    /// The gateways furthest behind, lowest position first; at most [`MAX_STRAGGLERS`].
     pub furthest: Vec<Straggler>,
-    /// Versions of documents that gateways cannot apply, those that the most reject first; at most
+    /// Document versions that gateways cannot apply, in descending order of rejecting gateways; at most
     /// [`MAX_REJECTIONS`](crate::configuration::MAX_REJECTIONS).
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rejections: Vec<RejectedVersion>,
-    /// Whether there are more of them.
+    /// Whether further versions are rejected that `rejections` does not list.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub rejections_omitted: bool,
 }
 
 impl PositionReport {
-    /// A gateway's report of itself.
+    /// A gateway's report of its own position.
     pub fn of_gateway(name: &str, applied: EventNumber) -> PositionReport {
         let name = bounded_name(name);
         let own_position = Straggler { name: name.to_string(), applied };
         PositionReport { applied, gateways: 1, furthest: vec![own_position], ..PositionReport::default() }
     }
 
-    /// The report of a gateway that cannot apply these versions, whose name is that of the report.
+    /// Adds the versions that the gateway of this report cannot apply.
     pub fn with_rejections<'a>(
         mut self,
         rejections: impl IntoIterator<Item = &'a Rejection>,
@@ -62,13 +62,13 @@
         self.bounded()
     }
 
-    /// The report of a gateway with these documents.
+    /// Adds the rejections of the gateway's documents to its report.
     pub fn with_documents(mut self, documents: &GatewayDocuments) -> PositionReport {
         self.rejections_omitted = documents.rejections_omitted();
         self.with_rejections(documents.rejections())
     }
 
-    /// What a rollout needs of the report.
+    /// The parts of the report that a rollout needs.
     pub fn observation(&self) -> Observation {
         Observation {
             applied: self.applied,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The report within the bounds that this module states, whoever made it.
+    /// Truncates a received report to the limits of this module.
     pub(super) fn bounded(mut self) -> PositionReport {
         self.furthest.truncate(MAX_STRAGGLERS);
         for straggler in &mut self.furthest {
@@ -97,7 +97,7 @@
         self.rejections = rejections.versions;
     }
 
-    /// Takes the rejections out of the report.
+    /// Moves the rejections out of the report.
     pub(super) fn take_rejections(&mut self) -> ReportedRejections {
         ReportedRejections {
             versions: std::mem::take(&mut self.rejections),
@@ -106,7 +106,7 @@
     }
 }
 
-/// The longest beginning of a name that fits [`MAX_NAME_BYTES`].
+/// The longest prefix of a name that fits [`MAX_NAME_BYTES`].
 pub(super) fn bounded_name(name: &str) -> &str {
     let fits = |end: &usize| *end <= MAX_NAME_BYTES;
     let ends = name.char_indices().map(|(start, letter)| start + letter.len_utf8());
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between the source of events (or another relay) and its subscribers.
+//! A relay, which distributes events from the source or from another relay to its subscribers.
 mod admission;
 mod documents;
 mod encoder;
@@ -29,8 +29,8 @@
 use ring::{BatchRing, RingLimits};
 use subscribers::Subscribers;
 
-/// A relay's state. The caller owns the sockets: it hands in what happens by [`Relay::handle`] and pulls what each
-/// subscriber is to be sent by [`Relay::next_chunk`].
+/// A relay's state. The caller owns the sockets: it passes inputs to [`Relay::handle`] and pulls the data for each
+/// subscriber with [`Relay::next_chunk`].
 #[derive(Debug)]
 pub struct Relay {
     settings: RelaySettings,
@@ -43,32 +43,32 @@
     report: ReportState,
     readiness: Readiness,
     random: Pcg64Mcg,
-    /// What came up while chunks were pulled; goes out with the next call of `handle`. Each pull adds one cut at
-    /// most and each subscriber that has caught up one admission.
+    /// Outputs produced by `next_chunk`, returned by the next call of `handle`. Each pull adds at most one
+    /// disconnection, and each subscriber that has caught up at most one admission.
     deferred: Vec<Output>,
 }
 
 /// Whether a relay serves subscribers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Readiness {
-    /// No heartbeat has come since the stream from upstream began: subscribers wait for one.
+    /// No heartbeat was received since the upstream stream began. Subscribers wait for one.
     Unready,
-    /// It serves them.
+    /// Subscribers are served.
     Ready,
-    /// Upstream has another history: they are rejected at once, until a new stream from upstream begins.
+    /// Upstream has a different history. Subscribers are rejected until a new upstream stream begins.
     Stopped,
 }
 
-/// When positions go upstream.
+/// Schedule of position reports to upstream.
 #[derive(Debug, Default)]
 struct ReportState {
     changed: bool,
-    /// The earliest time of the next one.
+    /// Earliest time of the next report.
     next_report_at: MonotonicTime,
 }
 
 impl Relay {
-    /// A relay with an empty log.
+    /// Creates a relay with an empty log.
     pub fn new(settings: RelaySettings) -> Relay {
         let ring = RingLimits {
             batch_interval: settings.batch_interval,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Takes in what has happened and appends what the caller has to do.
+    /// Processes an input and appends the actions for the caller to `out`.
     pub fn handle(&mut self, now: MonotonicTime, input: Input, out: &mut Vec<Output>) {
         out.append(&mut self.deferred);
         match input {
@@ -109,7 +109,8 @@
         self.run_timers(now, out);
     }
 
-    /// When [`Input::Tick`] is wanted, if ever. It changes with each call of `handle` and `next_chunk`.
+    /// Time at which the caller has to pass [`Input::Tick`], if any. Changes with each call of `handle` and
+    /// `next_chunk`.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         let deferred = (!self.deferred.is_empty()).then_some(MonotonicTime::MIN);
         let report = self.report.changed.then_some(self.report.next_report_at);
@@ -117,47 +118,47 @@
         others.into_iter().chain([deferred, report]).flatten().min()
     }
 
-    /// The log.
+    /// The event log.
     pub fn log(&self) -> &EventLog {
         &self.log
     }
 
-    /// How far all gateways below are.
+    /// The positions of all gateways below this relay.
     pub fn positions(&self) -> &Positions {
         &self.positions
     }
 
-    /// Since when an event is known to be applied everywhere below.
+    /// Time since which all gateways below are known to have applied an event, if they have.
     pub fn applied_everywhere_at(&self, number: EventNumber) -> Option<MonotonicTime> {
         self.positions.applied_everywhere_at(number)
     }
 
-    /// What has been encoded so far.
+    /// Counters of encoded data since the relay was created.
     pub fn statistics(&self) -> RelayStatistics {
         self.encoder.statistics
     }
 
-    /// Subscribers, those waiting included.
+    /// Number of subscribers, including waiting ones.
     pub fn subscribers(&self) -> usize {
         self.subscribers.len()
     }
 
-    /// Subscribers that catch up now.
+    /// Number of subscribers that are catching up.
     pub fn catching_up(&self) -> usize {
         self.subscribers.catching_up()
     }
 
-    /// Subscribers that wait for readiness or catch-up.
+    /// Number of subscribers waiting for readiness or for catch-up.
     pub fn waiting(&self) -> usize {
         self.subscribers.waiting()
     }
 
-    /// Whether it takes subscribers: caught up since the stream from upstream began.
+    /// Whether the relay serves subscribers: it has caught up since the upstream stream began.
     pub fn is_ready(&self) -> bool {
         self.readiness == Readiness::Ready
     }
 
-    /// Bytes of the log, the sealed batches, and the pages and snapshots that are remembered.
+    /// Bytes used by the log, the sealed batches, and cached pages and snapshots.
     pub fn bytes(&self) -> usize {
         self.log.bytes() + self.ring.bytes() + self.pages.bytes()
     }
--- a/crates/distribution/src/relay/admission.rs
+++ b/crates/distribution/src/relay/admission.rs
@@ -1,4 +1,4 @@
-//! Which subscribers are admitted, where they begin, and who has to wait.
+//! Admission of subscribers: where they begin to read, and which of them wait or are rejected.
 use super::encoder::ScopeIndex;
 use super::messages::{Output, RejectReason, SubscribeRequest, SubscriberId};
 use super::subscribers::{ReadState, WaitingRequest};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Relay {
-    /// A subscriber requests events.
+    /// Handles a subscriber's request for events.
     pub(super) fn subscribe(
         &mut self,
         now: MonotonicTime,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// The relay is ready now: those that have waited for that are admitted in their order, and those that have to
-    /// catch up as far as there is capacity.
+    /// Marks the relay as ready and admits waiting subscribers in order; those that have to catch up only while there
+    /// is capacity.
     pub(super) fn become_ready(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         self.readiness = Readiness::Ready;
         for id in self.subscribers.waiting_ids() {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The relay is not ready any more: those that wait for catch-up wait for readiness first.
+    /// Marks the relay as not ready. Subscribers waiting for catch-up now wait for readiness, for at most its timeout.
     pub(super) fn become_unready(&mut self, now: MonotonicTime) {
         self.readiness = Readiness::Unready;
         let latest = now + self.settings.readiness_timeout;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Admits those that wait, while there is capacity.
+    /// Admits waiting subscribers while there is catch-up capacity.
     pub(super) fn admit_waiting(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         while self.is_ready() && self.may_catch_up() {
             let Some(id) = self.subscribers.first_waiting() else { return };
@@ -78,8 +78,8 @@
         }
     }
 
-    /// The deadline of one that waits has passed: it is rejected, unless it has the rest of its time for admission
-    /// because the relay has become ready meanwhile.
+    /// Handles the expired deadline of a waiting subscriber. It is rejected, unless the relay has become ready in the
+    /// meantime and the admission timeout has not passed yet.
     pub(super) fn handle_waiting_deadline(
         &mut self,
         now: MonotonicTime,
@@ -101,8 +101,9 @@
         out.push(Output::Reject { id, reason, retry_after: self.settings.retry_after + jitter });
     }
 
-    /// The number under which this subscriber can be given the full list. It lies past the next one that the
-    /// subscriber expects, so that the jump shows (E1); the event after it verifies the history.
+    /// The event number for a snapshot for this subscriber; `None` if there is none or the store list is incomplete. It
+    /// is beyond the number that the subscriber expects next, so that the jump is visible (E1). If possible an event
+    /// follows the snapshot, because only that event's digest identifies the history.
     pub(super) fn snapshot_number(&self, cursor: EventNumber) -> Option<EventNumber> {
         let last = self.ring.last().max(self.log.first() - 1);
         let before_last = last.saturating_sub(1).max(self.log.first() - 1);
@@ -110,12 +111,12 @@
         [before_last, last].into_iter().find(is_visible).filter(|_| self.log.stores().is_complete())
     }
 
-    /// Whether one more subscriber may catch up now.
+    /// Whether there is capacity for another subscriber to catch up.
     fn may_catch_up(&self) -> bool {
         self.subscribers.catching_up() < self.settings.max_catching_up
     }
 
-    /// Until when one that came at this time waits, as things stand.
+    /// Deadline of a subscriber waiting since this time, given the relay's current readiness.
     fn waiting_deadline(&self, since: MonotonicTime) -> MonotonicTime {
         let admission_timeout = self.settings.admission_timeout;
         match self.readiness {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// What those that wait are waiting for, as the reason for which they are rejected if it does not come.
+    /// The reason for rejecting a subscriber whose wait has failed: no readiness, or no catch-up capacity.
     fn waiting_reason(&self) -> RejectReason {
         match self.readiness {
             Readiness::Ready => RejectReason::Busy,
@@ -142,7 +143,7 @@
         self.subscribers.set_deadline(id, deadline);
     }
 
-    /// Admits one that waits, or rejects it; it goes on waiting if it has to catch up and there is no capacity.
+    /// Admits or rejects a waiting subscriber. It keeps waiting if it has to catch up and there is no capacity.
     fn admit(&mut self, now: MonotonicTime, id: SubscriberId, out: &mut Vec<Output>) {
         let waiting = self.subscribers.get(id).and_then(|subscriber| subscriber.waiting.as_ref());
         let Some(waiting) = waiting else { return };
@@ -168,7 +169,7 @@
         out.push(Output::Accept(id));
     }
 
-    /// What a subscriber of a ready relay reads first, or why it is rejected.
+    /// The initial read state of a subscriber of a ready relay, or the reason for rejecting it.
     fn initial_state(&self, request: &SubscribeRequest) -> Result<ReadState, RejectReason> {
         let cursor = request.cursor.unwrap_or(0);
         if cursor > self.log.last() {
@@ -193,12 +194,12 @@
         request.scope.is_some() && self.scope_of(request).is_none()
     }
 
-    /// The scope that a request names, if there is such a one.
+    /// The scope that a request names; `None` if it names none or an unknown one.
     fn scope_of(&self, request: &SubscribeRequest) -> Option<ScopeIndex> {
         request.scope.as_deref().and_then(|name| self.encoder.scope_index(name))
     }
 
-    /// Whether one that has nothing yet is better given the full list than every event since the first.
+    /// Whether a subscriber without events should get a snapshot, because the history is longer than one page.
     fn snapshot_saves_pages(&self) -> bool {
         self.ring.last() > self.settings.page_events && self.snapshot_number(0).is_some()
     }
@@ -207,7 +208,8 @@
         self.snapshot_number(cursor).map(|_| ReadState::Snapshot).ok_or(RejectReason::NotReady)
     }
 
-    /// A subscriber that sends no digest is trusted; one without events has no history.
+    /// Compares histories. A subscriber that sends no digest is trusted, and one without events has no history to
+    /// compare.
     fn check_history(&self, cursor: EventNumber, request: &SubscribeRequest) -> HistoryCheck {
         let Some(digest) = request.digest.filter(|_| cursor > 0) else { return HistoryCheck::Same };
         let check = self.log.check_history(cursor, digest);
@@ -220,7 +222,7 @@
         }
     }
 
-    /// The text of a list event differs between scopes, and so does its digest.
+    /// Compares the digest of a list event as filtered by the scope, because its text differs between scopes.
     fn check_scoped(&self, cursor: EventNumber, digest: u64, scope: &Scope) -> HistoryCheck {
         let Some(event) = self.log.current(cursor) else { return HistoryCheck::Unknown };
         let scoped = scope.filter(cursor, &event.data);
@@ -231,8 +233,8 @@
     }
 }
 
-/// Whether a subscriber sees the jump if it gets a snapshot under this number. Else it would take the snapshot for the
-/// event of that number, and its digest for that of the history.
+/// Whether a subscriber recognizes a snapshot with this number by a jump. Otherwise it would mistake the snapshot for
+/// the event with that number, and the snapshot's digest for one that identifies the history.
 pub(super) fn shows_as_jump(cursor: EventNumber, number: EventNumber) -> bool {
     let next_expected = cursor + 1;
     number > next_expected
--- a/crates/distribution/src/relay/documents.rs
+++ b/crates/distribution/src/relay/documents.rs
@@ -1,29 +1,29 @@
-//! The documents that a relay holds, and how far they are applied below it.
+//! The documents stored by a relay, and whether the gateways below have applied them.
 use super::Relay;
 use crate::configuration::{Observation, StoredDocument};
 
-/// A version of a document at a relay.
+/// A document version stored by a relay, and its status below the relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DocumentStatus<'a> {
-    /// The version, and the event that brought it.
+    /// The version and the number of its event.
     pub stored: &'a StoredDocument,
-    /// Whether all gateways below that it is for have applied it.
+    /// Whether all targeted gateways below have applied the version.
     pub is_applied: bool,
 }
 
 impl Relay {
-    /// All versions stored, by document; the one for all gateways before the staged one.
+    /// All stored versions, ordered by document; the version for all gateways comes before the staged one.
     pub fn documents(&self) -> impl Iterator<Item = DocumentStatus<'_>> {
         let stored = self.log.documents().iter();
         stored.map(|stored| DocumentStatus { stored, is_applied: self.is_document_applied(stored) })
     }
 
-    /// Whether all gateways below that a version is for have applied it: all are past its event, and none rejects it.
+    /// Whether all targeted gateways below have applied a version: all have reached its event, and none rejects it.
     pub fn is_document_applied(&self, stored: &StoredDocument) -> bool {
         self.positions.is_document_applied(stored.number, &stored.document.id, stored.document.version)
     }
 
-    /// What a rollout needs to know of the gateways below.
+    /// The aggregated state of the gateways below, as needed by a rollout.
     pub fn observation(&self) -> Observation {
         self.positions.aggregate().observation()
     }
--- a/crates/distribution/src/relay/encoder.rs
+++ b/crates/distribution/src/relay/encoder.rs
@@ -1,4 +1,4 @@
-//! Turns events into encoded pieces, and counts what that took.
+//! Encodes events into pieces of a response body and counts the encoded data.
 use crate::batch::{encode_at_level, placeholder, write_event, write_heartbeat, Encoding};
 use crate::event::{Event, EventNumber};
 use crate::log::LogEntry;
@@ -10,31 +10,31 @@
 /// The index of a scope in the relay's settings.
 pub(super) type ScopeIndex = usize;
 
-/// Which form of the same events a piece holds.
+/// The scope and encoding of a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PieceFormat {
-    /// None for the unfiltered list, and for pieces without list events, which all scopes share.
+    /// `None` for the unfiltered list, and for pieces without list events, which all scopes share.
     pub scope: Option<ScopeIndex>,
     pub encoding: Encoding,
 }
 
-/// An event on its way into a piece. Its text is shared with the log.
+/// An event to be encoded. Its text is shared with the log.
 #[derive(Debug, Clone)]
 pub(super) struct OutgoingEvent {
     pub number: EventNumber,
-    /// None for an event that a later one has replaced.
+    /// JSON text; `None` for an event that a later one has replaced.
     pub data: Option<Arc<str>>,
-    /// Whether it carries stores.
+    /// Whether the event carries stores.
     pub has_stores: bool,
 }
 
 impl OutgoingEvent {
-    /// An event that no later one has replaced.
+    /// Creates the outgoing form of an event that has not been replaced.
     pub(super) fn of_event(event: &Event) -> OutgoingEvent {
         OutgoingEvent { number: event.number, data: Some(event.data.clone()), has_stores: event.has_stores() }
     }
 
-    /// The event of this number in the log.
+    /// Creates the outgoing form of a log entry.
     pub(super) fn of_entry(number: EventNumber, entry: LogEntry<'_>) -> OutgoingEvent {
         match entry {
             LogEntry::Current(event) => OutgoingEvent::of_event(event),
@@ -42,28 +42,28 @@
         }
     }
 
-    /// Bytes of its text.
+    /// Length of the event's text in bytes; 0 if replaced.
     pub(super) fn bytes(&self) -> usize {
         self.data.as_ref().map_or(0, |data| data.len())
     }
 }
 
-/// What a relay has encoded so far.
+/// Counters of the data that a relay has encoded.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RelayStatistics {
-    /// Pieces of live batches.
+    /// Number of encoded pieces of live batches.
     pub batches_encoded: u64,
-    /// Catch-up pages.
+    /// Number of encoded catch-up pages.
     pub pages_encoded: u64,
-    /// Snapshots.
+    /// Number of encoded snapshots.
     pub snapshots_encoded: u64,
-    /// Bytes of event text that went into all of them.
+    /// Bytes of text before encoding.
     pub text_bytes: u64,
-    /// Bytes that came out.
+    /// Bytes after encoding.
     pub encoded_bytes: u64,
 }
 
-/// Scopes and level of one relay.
+/// Encodes pieces with the scopes and the gzip level of one relay.
 #[derive(Debug)]
 pub(super) struct Encoder {
     gzip_level: u32,
@@ -87,7 +87,7 @@
         &self.scopes[index]
     }
 
-    /// Encodes events and then, if any, a heartbeat.
+    /// Encodes events, followed by a heartbeat if given.
     pub(super) fn encode(
         &mut self,
         events: &[OutgoingEvent],
@@ -104,7 +104,7 @@
         self.encode_text(&text, format.encoding)
     }
 
-    /// Encodes one event under its data.
+    /// Encodes one event from its number and data.
     pub(super) fn encode_event(&mut self, number: EventNumber, data: &str, encoding: Encoding) -> Arc<[u8]> {
         let mut text = String::new();
         write_event(&mut text, number, data);
--- a/crates/distribution/src/relay/history_mismatch.rs
+++ b/crates/distribution/src/relay/history_mismatch.rs
@@ -1,36 +1,36 @@
-//! How a relay finds that upstream has another history than its log.
+//! The ways in which the history of upstream can differ from a relay's log.
 use crate::event::EventNumber;
 use crate::subscriber::LeaveReason;
 use thiserror::Error;
 
-/// Why a relay's log is void: upstream has another history.
+/// Reasons why upstream's history differs from a relay's log, which makes the log invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HistoryMismatch {
-    /// Upstream sent another text for an event that the log holds.
+    /// Upstream sent an event that differs from the log's event with the same number.
     #[error("event {number} differs from the one in the log")]
     EventDiffers {
         /// Number of the event.
         number: EventNumber,
     },
-    /// What came after a gap is not after the log's last event.
+    /// The first event after a gap has a number that is not after the log's last event.
     #[error("upstream went back from event {last} to {received}")]
     NumberDecreased {
         /// The log's last event.
         last: EventNumber,
-        /// The event that came.
+        /// Number of the received event.
         received: EventNumber,
     },
-    /// All sources have another history than the one applied.
+    /// The history of all sources differs from that of the applied events.
     #[error("after event {after}, {}", leave_text(*.reason))]
     AllSourcesDiffer {
-        /// The last event applied.
+        /// Number of the last applied event.
         after: EventNumber,
-        /// Why the last source was left; none if no connection to it was open.
+        /// Why the last source was left; absent if no connection was open.
         reason: Option<LeaveReason>,
     },
 }
 
-/// The reason as text; nothing where there is none.
+/// The reason as text; empty if there is none.
 fn leave_text(reason: Option<LeaveReason>) -> String {
     reason.map(|reason| reason.to_string()).unwrap_or_default()
 }
--- a/crates/distribution/src/relay/messages.rs
+++ b/crates/distribution/src/relay/messages.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of a relay.
+//! Inputs and outputs of a relay.
 use super::history_mismatch::HistoryMismatch;
 use crate::batch::Encoding;
 use crate::event::{Event, EventNumber};
@@ -6,54 +6,54 @@
 use larchway_unix_time::UnixMicros;
 use std::time::Duration;
 
-/// A subscriber's connection, as the caller numbers it; never used twice.
+/// Identifies a subscriber's connection. Assigned by the caller and never reused.
 pub type SubscriberId = u64;
 
-/// A subscriber's request, as far as the relay needs it.
+/// The parts of a subscriber's request that the relay needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubscribeRequest {
-    /// `Last-Event-ID`: the last event it has; none (or 0) if it has nothing yet.
+    /// Value of `Last-Event-ID`: the subscriber's last event; `None` or 0 if it has none.
     pub cursor: Option<EventNumber>,
-    /// `If-Match`: digest of that event's data.
+    /// Value of `If-Match`: digest of that event's data.
     pub digest: Option<u64>,
-    /// Content coding that it accepts.
+    /// Content coding of the response.
     pub encoding: Encoding,
-    /// `scope` of the query.
+    /// Scope name from the query parameter `scope`, if any.
     pub scope: Option<String>,
-    /// Its name, which ties its position to that of an earlier connection.
+    /// Name of the subscriber, which links its position to its earlier connections.
     pub name: Option<String>,
 }
 
-/// What happens to a relay.
+/// An input to a relay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// The next event from upstream.
     Event(Event),
     /// A heartbeat from upstream, after all events before it.
     Heartbeat {
-        /// When the root relay last received bytes from the source, by its clock.
+        /// Time at which the root relay last received bytes from the source, by the root relay's clock.
         source_alive_at: UnixMicros,
     },
-    /// The stream from upstream has begun; the relay is ready again with the first heartbeat.
+    /// The upstream stream has begun. The relay becomes ready with the first heartbeat.
     UpstreamConnected,
-    /// The stream from upstream has ended.
+    /// The upstream stream has ended.
     UpstreamDisconnected,
-    /// The first event after a gap, in most cases a snapshot: the log begins anew.
+    /// The first event after a gap, usually a snapshot. The log restarts with it.
     UpstreamGap(Event),
-    /// Upstream has another history than the log.
+    /// The history of upstream differs from the log's.
     OtherHistory(HistoryMismatch),
-    /// A subscriber asks for events.
+    /// A subscriber requests events.
     Subscribe {
-        /// Its connection.
+        /// The subscriber's connection.
         id: SubscriberId,
-        /// Its request.
+        /// The request.
         request: SubscribeRequest,
     },
-    /// A subscriber says how far it is.
+    /// A subscriber reports its position.
     Position {
-        /// Its connection.
+        /// The subscriber's connection.
         id: SubscriberId,
-        /// Its report.
+        /// The report.
         report: PositionReport,
     },
     /// A subscriber's connection has ended.
@@ -62,21 +62,20 @@
     Tick,
 }
 
-/// Why a subscriber is rejected.
+/// Reasons for rejecting a subscriber, with the HTTP status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
     /// The relay's last event is before the subscriber's cursor (503).
     Behind,
-    /// The relay's log has another history (412).
+    /// The history of the relay's log differs from the subscriber's (412).
     OtherHistory,
-    /// The relay was not caught up itself within the time that a subscriber waits for that, or can't verify the cursor
-    /// yet (503).
+    /// The relay did not become ready within the subscriber's waiting time, or cannot verify the cursor yet (503).
     NotReady,
-    /// Too many catch up and wait (503).
+    /// Too many subscribers are catching up or waiting (503).
     Busy,
-    /// There is no such scope (404).
+    /// The requested scope does not exist (404).
     UnknownScope,
-    /// Too many subscribers (503).
+    /// The limit of subscribers is reached (503).
     TooManySubscribers,
 }
 
@@ -94,48 +93,48 @@
     }
 }
 
-/// Why a subscriber is disconnected.
+/// Reasons for disconnecting a subscriber.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DisconnectReason {
-    /// It fell behind the batches for the second time, or could not go back to catch-up.
+    /// It fell behind the sealed batches for the second time, or could not return to catch-up.
     FellBehind,
     /// It left a batch unread for too long.
     Stalled,
     /// It did not catch up in time.
     CatchUpTooSlow,
-    /// What it needs is not in the log any more and no full list is known.
+    /// The events it needs are no longer in the log, and no complete store list is available for a snapshot.
     NoSnapshot,
-    /// Events are missing that no jump of numbers shows: it has to come again for a snapshot.
+    /// Events are missing without a visible jump in the numbers. It has to reconnect to get a snapshot.
     HiddenGap,
-    /// The relay has stopped serving.
+    /// The relay stopped serving because upstream has a different history.
     StoppedServing,
 }
 
-/// What the caller has to do.
+/// An action for the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Write the response head to this subscriber, then pull its chunks.
+    /// Send the response head to this subscriber, then pull its chunks.
     Accept(SubscriberId),
-    /// Reject this subscriber. The relay holds nothing of it any more.
+    /// Reject this subscriber. The relay has already removed its state.
     Reject {
         /// The subscriber.
         id: SubscriberId,
         /// Why.
         reason: RejectReason,
-        /// How long it is to wait before it comes again; `Retry-After` on 503.
+        /// Time after which it may retry; sent as `Retry-After` with status 503.
         retry_after: Duration,
     },
-    /// Close this subscriber's connection. The relay holds nothing of it any more.
+    /// Close this subscriber's connection. The relay has already removed its state.
     Disconnect {
         /// The subscriber.
         id: SubscriberId,
         /// Why.
         reason: DisconnectReason,
     },
-    /// A batch was sealed: pull for all subscribers that had nothing to read.
+    /// A batch was sealed. Pull chunks for all subscribers that had nothing to read.
     BatchSealed,
-    /// Send upstream.
+    /// Send this position report upstream.
     Report(PositionReport),
-    /// The relay serves nobody any more, for this reason, until upstream begins anew with a gap.
+    /// The relay stops serving all subscribers, for this reason, until upstream restarts with a gap.
     StopServing(HistoryMismatch),
 }
--- a/crates/distribution/src/relay/pages.rs
+++ b/crates/distribution/src/relay/pages.rs
@@ -1,14 +1,14 @@
-//! Catch-up: pages of the log aligned to fixed numbers and snapshots, each encoded once and shared.
+//! The cache of catch-up data: log pages aligned to fixed numbers, and snapshots. Each is encoded once and shared.
 use super::encoder::{Encoder, OutgoingEvent, PieceFormat};
 use crate::event::EventNumber;
 use crate::log::EventLog;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What is cached.
+/// The kind of data in a cached piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum CachedContent {
-    /// The page of this index.
+    /// The page with this index.
     Page(u64),
     Snapshot,
 }
@@ -22,23 +22,23 @@
 #[derive(Debug)]
 struct CachedPiece {
     bytes: Arc<[u8]>,
-    /// The last event in a page, the number of a snapshot.
+    /// Number of the last event in a page, or of a snapshot.
     last: EventNumber,
     audience: Audience,
-    /// When it was used last, in order of use.
+    /// Value of the use counter at the last use.
     last_use: u64,
 }
 
 /// Which scopes share an encoded piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Audience {
-    /// All: it holds no list event.
+    /// All scopes, because it contains no list event.
     AllScopes,
-    /// Only the one of its key.
+    /// Only the scope in its key.
     OneScope,
 }
 
-/// An encoded page or snapshot, and how far it takes a subscriber.
+/// An encoded page or snapshot, and the subscriber's cursor after it.
 #[derive(Debug, Clone)]
 pub(super) struct CatchUpPiece {
     pub bytes: Arc<[u8]>,
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(super) struct PageCache {
     page_events: u64,
-    /// Bytes at most; the piece used longest ago is dropped, the newest always stays.
+    /// Maximum size in bytes. The least recently used piece is dropped beyond it, except the newest.
     max_bytes: usize,
     pieces: BTreeMap<CacheKey, CachedPiece>,
     by_use: BTreeMap<u64, CacheKey>,
@@ -69,20 +69,20 @@
         }
     }
 
-    /// Bytes of all pieces.
+    /// Bytes of all cached pieces.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Drops everything: the log has begun anew.
+    /// Clears the cache, for when the log restarts.
     pub(super) fn clear(&mut self) {
         self.pieces.clear();
         self.by_use.clear();
         self.bytes = 0;
     }
 
-    /// The page that holds the event after `cursor`, with events up to `last` at most. The caller has made sure that
-    /// the log holds that event.
+    /// Returns the page that contains the event after `cursor`, with events up to at most `last`. The caller ensures
+    /// that the log has that event.
     pub(super) fn page(
         &mut self,
         log: &EventLog,
@@ -114,7 +114,7 @@
         let scoped = CacheKey { content, format };
         let applies_to_scope =
             |cached: &CachedPiece| cached.audience == Audience::AllScopes || format.scope.is_none();
-        // A page that was cut short at the log's end is of no use to one that has got so far.
+        // A page that ended at the log's end when encoded has no new events for a cursor at its last event.
         let extends_cursor = |cached: &&CachedPiece| cached.last > cursor;
         if self.pieces.get(&shared).filter(extends_cursor).is_some_and(applies_to_scope) {
             return self.mark_used(shared);
@@ -123,7 +123,7 @@
         self.mark_used(scoped)
     }
 
-    /// A cached snapshot, if its number is one of `usable`.
+    /// Returns the cached snapshot if `usable` accepts its number.
     pub(super) fn snapshot(
         &mut self,
         format: PieceFormat,
@@ -134,7 +134,7 @@
         self.mark_used(key)
     }
 
-    /// Encodes a snapshot and caches it.
+    /// Encodes and caches a snapshot.
     pub(super) fn add_snapshot(
         &mut self,
         number: EventNumber,
@@ -187,7 +187,7 @@
     }
 }
 
-/// The events from `first` to `last` that the log holds.
+/// The log's events from `first` to `last`.
 fn log_events(log: &EventLog, first: EventNumber, last: EventNumber) -> Vec<OutgoingEvent> {
     let event = |number| log.get(number).map(|entry| OutgoingEvent::of_entry(number, entry));
     (first..=last).filter_map(event).collect()
--- a/crates/distribution/src/relay/ring.rs
+++ b/crates/distribution/src/relay/ring.rs
@@ -1,4 +1,4 @@
-//! Events on their way to the subscribers that are caught up: the batch that gathers, and those that are sealed.
+//! Events for subscribers that are caught up: the open batch and the ring of sealed batches.
 use super::encoder::{Encoder, OutgoingEvent, PieceFormat};
 use crate::event::EventNumber;
 use larchway::MonotonicTime;
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The number of a batch among all batches of a relay.
+/// The sequence number of a batch within a relay.
 pub(super) type BatchNumber = u64;
 
-/// A sealed batch, encoded once a form on first use.
+/// A sealed batch. It is encoded once per format, on first use.
 #[derive(Debug)]
 struct Batch {
     /// The last event before this batch, and the last in it.
@@ -19,15 +19,15 @@
     events: Vec<OutgoingEvent>,
     heartbeat: Option<UnixMicros>,
     sealed_at: MonotonicTime,
-    /// Whether it holds a list event, whose text differs between scopes.
+    /// Whether the batch contains a list event, whose text differs between scopes.
     contains_list: bool,
-    /// Bytes of the texts and the pieces.
+    /// Bytes of the event texts and of the encoded pieces.
     bytes: usize,
-    /// At most two a scope.
+    /// Encoded pieces; at most two per scope.
     pieces: BTreeMap<PieceFormat, Arc<[u8]>>,
 }
 
-/// The batch that gathers.
+/// The batch to which events are added.
 #[derive(Debug, Default)]
 struct OpenBatch {
     events: Vec<OutgoingEvent>,
@@ -36,7 +36,7 @@
     seal_at: Option<MonotonicTime>,
 }
 
-/// Bounds of a [`BatchRing`]; see the fields of the same names in `RelaySettings`.
+/// Limits of a [`BatchRing`]. `RelaySettings` describes the fields under the same names.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RingLimits {
     pub batch_interval: Duration,
@@ -45,28 +45,28 @@
     pub ring_bytes: usize,
 }
 
-/// A bounded ring of sealed batches. All subscribers share one encoded piece of a batch.
+/// A bounded ring of sealed batches. Subscribers with the same format share the encoded piece of a batch.
 #[derive(Debug)]
 pub(super) struct BatchRing {
     limits: RingLimits,
     open: OpenBatch,
-    /// At most `RingLimits::max_batches` batches and `ring_bytes` bytes; the oldest is dropped.
+    /// At most `RingLimits::max_batches` batches and `ring_bytes` bytes; the oldest are dropped.
     sealed: VecDeque<Batch>,
     oldest: BatchNumber,
     bytes: usize,
     last: EventNumber,
 }
 
-/// Whether the batch that gathers has just been sealed.
+/// Whether an operation has sealed the open batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BatchState {
-    /// It gathers, or there is nothing in it.
+    /// The batch is still open or empty.
     Open,
-    /// It is sealed: there is something to send.
+    /// The batch was sealed and can be sent.
     Sealed,
 }
 
-/// A piece of a batch, and how far it takes a subscriber.
+/// An encoded batch, and the subscriber's cursor after it.
 #[derive(Debug)]
 pub(super) struct BatchPiece {
     pub bytes: Arc<[u8]>,
@@ -85,22 +85,22 @@
         }
     }
 
-    /// The last event that is sealed.
+    /// Number of the last event in a sealed batch.
     pub(super) fn last(&self) -> EventNumber {
         self.last
     }
 
-    /// The oldest batch that is still here, and the one to be sealed next.
+    /// Number of the oldest batch in the ring, or of the next one if the ring is empty.
     pub(super) fn oldest(&self) -> BatchNumber {
         self.oldest
     }
 
-    /// See [`BatchRing::oldest`].
+    /// Number of the batch that will be sealed next.
     pub(super) fn next(&self) -> BatchNumber {
         self.oldest + self.sealed.len() as BatchNumber
     }
 
-    /// Bytes of all sealed batches.
+    /// Bytes of all sealed batches and their encoded pieces.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -110,7 +110,7 @@
         self.open.seal_at
     }
 
-    /// Adds an event to the open batch, which is sealed once it is full.
+    /// Adds an event to the open batch and seals the batch if it is full.
     pub(super) fn add(&mut self, now: MonotonicTime, event: OutgoingEvent) -> BatchState {
         self.open.seal_at.get_or_insert(now + self.limits.batch_interval);
         self.open.bytes += event.bytes();
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Adds a heartbeat behind the events of the open batch.
+    /// Sets the heartbeat that is sent after the events of the open batch.
     pub(super) fn add_heartbeat(&mut self, now: MonotonicTime, source_alive_at: UnixMicros) {
         self.open.seal_at.get_or_insert(now + self.limits.batch_interval);
         self.open.heartbeat = Some(source_alive_at);
     }
 
-    /// Seals the open batch, unless there is nothing in it.
+    /// Seals the open batch unless it is empty.
     pub(super) fn seal(&mut self, now: MonotonicTime) -> BatchState {
         let open = std::mem::take(&mut self.open);
         if open.seal_at.is_none() {
@@ -150,7 +150,8 @@
         BatchState::Sealed
     }
 
-    /// Since when a subscriber that pulled last at `progress` has left this batch unread; none if it is not sealed.
+    /// Time since which a subscriber that last pulled at `progress` has left this batch unread; `None` if the batch is
+    /// not sealed yet.
     pub(super) fn unread_since(&self, number: BatchNumber, progress: MonotonicTime) -> Option<MonotonicTime> {
         if number >= self.next() {
             return None;
@@ -160,7 +161,7 @@
         Some(batch.map_or(progress, |batch| batch.sealed_at.max(progress)))
     }
 
-    /// The batch that a subscriber with this cursor needs next; none if it is not here any more.
+    /// The batch that a subscriber with this cursor needs next; `None` if it is no longer in the ring.
     pub(super) fn batch_after(&self, cursor: EventNumber) -> Option<BatchNumber> {
         if cursor >= self.last {
             return Some(self.next());
@@ -170,7 +171,7 @@
         (batch.last_before <= cursor).then(|| self.oldest + index as BatchNumber)
     }
 
-    /// The piece of a batch in the form asked for; none if the batch is not sealed yet or not here any more.
+    /// Returns a batch in this format; `None` if the batch is not sealed yet or no longer in the ring.
     pub(super) fn piece(
         &mut self,
         number: BatchNumber,
@@ -193,7 +194,7 @@
         Some(BatchPiece { bytes, last })
     }
 
-    /// Drops the oldest batches past the bounds; the newest always stays.
+    /// Drops the oldest batches beyond the limits but always keeps the newest.
     fn evict(&mut self) {
         while self.sealed.len() > 1
             && (self.sealed.len() > self.limits.max_batches || self.bytes > self.limits.ring_bytes)
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Drops all batches and begins anew with a history whose numbers may be lower.
+    /// Drops all batches and restarts for a history whose event numbers may be lower.
     pub(super) fn reset(&mut self) {
         self.oldest = self.next();
         self.sealed.clear();
--- a/crates/distribution/src/relay/serving.rs
+++ b/crates/distribution/src/relay/serving.rs
@@ -1,4 +1,4 @@
-//! What each subscriber is sent next, and who is disconnected.
+//! Sending data to subscribers, and disconnecting them.
 use super::admission::shows_as_jump;
 use super::messages::{DisconnectReason, Output, SubscriberId};
 use super::subscribers::ReadState;
@@ -8,7 +8,7 @@
 use larchway::MonotonicTime;
 use std::sync::Arc;
 
-/// A piece on its way to a subscriber.
+/// An encoded piece for a subscriber, and the subscriber's state after it.
 struct NextPiece {
     bytes: Arc<[u8]>,
     cursor: EventNumber,
@@ -16,7 +16,8 @@
 }
 
 impl Relay {
-    /// The next piece of the response body for this subscriber, or none now. The first piece for gzip is the header.
+    /// Returns the next piece of this subscriber's response body, or `None` if there is none yet. The first piece of a
+    /// gzip response is the gzip header.
     pub fn next_chunk(&mut self, now: MonotonicTime, id: SubscriberId) -> Option<Arc<[u8]>> {
         let subscriber = self.subscribers.get_mut(id)?;
         if matches!(subscriber.state, ReadState::Waiting(_)) {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Disconnects a subscriber.
+    /// Disconnects a subscriber and reports the reason to the caller.
     pub(super) fn disconnect(
         &mut self,
         now: MonotonicTime,
@@ -50,7 +51,7 @@
         self.remove_subscriber(now, id, out);
     }
 
-    /// A subscriber is gone: another may catch up, and its gateways are lost until they come back.
+    /// Removes a disconnected subscriber. Its gateways count as lost, and a waiting subscriber may start to catch up.
     pub(super) fn remove_subscriber(&mut self, now: MonotonicTime, id: SubscriberId, out: &mut Vec<Output>) {
         if self.subscribers.remove(id).is_none() {
             return;
@@ -60,7 +61,7 @@
         self.admit_waiting(now, out);
     }
 
-    /// The deadline of a subscriber has passed.
+    /// Handles an expired deadline of a subscriber.
     pub(super) fn handle_deadline(&mut self, now: MonotonicTime, id: SubscriberId, out: &mut Vec<Output>) {
         let Some(subscriber) = self.subscribers.get(id) else { return };
         match subscriber.state {
@@ -69,7 +70,7 @@
                 self.disconnect(now, id, DisconnectReason::CatchUpTooSlow, out);
             }
             ReadState::Live(next) => {
-                // A subscriber with nothing to read counts as one that has just read.
+                // A subscriber without unread batches is not stalled.
                 let unread_since = self.ring.unread_since(next, subscriber.progress).unwrap_or(now);
                 let stalls_at = unread_since + self.settings.stall_timeout;
                 if stalls_at <= now {
@@ -116,7 +117,8 @@
         Some(NextPiece { bytes: piece.bytes, cursor: piece.last, state: ReadState::Live(next + 1) })
     }
 
-    /// The batch a subscriber was to read is gone. If events went with it, it goes back to the log, once.
+    /// Handles a subscriber whose next batch was evicted. It continues with a later batch if it misses no event; else
+    /// it returns to reading the log, which it may do once.
     fn return_to_catch_up(
         &mut self,
         id: SubscriberId,
@@ -157,7 +159,7 @@
         Ok(Some(NextPiece { bytes: page.bytes, cursor: page.last, state: self.state_after(page.last) }))
     }
 
-    /// Where one reads on that has everything up to `cursor`.
+    /// The state of a subscriber that has all events up to `cursor`.
     fn state_after(&self, cursor: EventNumber) -> ReadState {
         self.ring.batch_after(cursor).map_or(ReadState::CatchUp, ReadState::Live)
     }
@@ -171,7 +173,7 @@
         let format = subscriber.piece_format();
         let base = self.log.first() - 1;
         let ring = &self.ring;
-        // An older snapshot serves as well, as long as the batches continue it.
+        // A cached older snapshot is usable as long as the ring still has the batches that follow it.
         let usable =
             |number| shows_as_jump(cursor, number) && number >= base && ring.batch_after(number).is_some();
         let cached = self.pages.snapshot(format, usable);
--- a/crates/distribution/src/relay/settings.rs
+++ b/crates/distribution/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! The bounds and times of a relay.
+//! Limits and time-outs of a relay.
 use crate::batch::DEFAULT_GZIP_LEVEL;
 use crate::log::LogLimits;
 use crate::positions::PositionLimits;
@@ -6,53 +6,53 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The bounds and times of a relay.
+/// Limits and time-outs of a relay.
 #[derive(Debug, Clone)]
 pub struct RelaySettings {
-    /// Bounds of the event log.
+    /// Limits of the event log.
     pub log: LogLimits,
-    /// Time for which events gather before they are sealed into one batch.
+    /// Time after which the open batch of events is sealed.
     pub batch_interval: Duration,
-    /// Bytes of event text at which a batch is sealed before its time.
+    /// Bytes of event text at which the open batch is sealed early.
     pub batch_bytes: usize,
-    /// Sealed batches held at most; a subscriber further behind goes back to catch-up pages.
+    /// Maximum number of sealed batches. A subscriber further behind returns to catch-up pages.
     pub max_batches: usize,
-    /// Bytes of the sealed batches' texts and encoded pieces at most; the oldest batch is dropped.
+    /// Maximum bytes of the texts and encoded pieces of sealed batches. The oldest batches are dropped beyond it.
     pub ring_bytes: usize,
-    /// Events in a catch-up page; pages begin at multiples of it, plus one.
+    /// Events per catch-up page. Pages begin at multiples of this number plus one.
     pub page_events: u64,
-    /// Bytes of encoded pages and snapshots held at most; the one used longest ago is dropped.
+    /// Maximum bytes of cached pages and snapshots. The least recently used is dropped beyond it.
     pub cache_bytes: usize,
-    /// Subscribers that catch up at the same time at most; others wait, first come first served.
+    /// Maximum number of subscribers that catch up at the same time. Others wait in order of arrival.
     pub max_catching_up: usize,
-    /// Subscribers that wait for readiness or catch-up at most; past it they are rejected as
+    /// Maximum number of subscribers waiting for readiness or catch-up. Others are rejected with
     /// [`RejectReason::NotReady`](super::RejectReason::NotReady) or [`RejectReason::Busy`](super::RejectReason::Busy).
     pub max_waiting: usize,
-    /// Time a subscriber waits for a relay that is not ready before it is rejected. Twice the interval of heartbeats:
-    /// a relay whose upstream lives is ready by then, and the subscribers of one whose upstream is dead still reach
-    /// another within the 4 s in which a change of the list is to be in force.
+    /// Maximum time that a subscriber waits for the relay to become ready. Twice the heartbeat interval: a relay with a
+    /// live upstream is ready by then, and with a dead upstream its subscribers still reach another relay within the 4
+    /// s in which a store list change must be in force.
     pub readiness_timeout: Duration,
-    /// Time a subscriber waits for catch-up before it is rejected, the wait for readiness included.
+    /// Maximum time that a subscriber waits for catch-up, including the wait for readiness.
     pub admission_timeout: Duration,
-    /// Time a subscriber may take to catch up before it is disconnected.
+    /// Maximum duration of a subscriber's catch-up before it is disconnected.
     pub catch_up_timeout: Duration,
-    /// Time for which a subscriber may leave a batch that is there unread before it is disconnected.
+    /// Time for which a subscriber may leave a sealed batch unread before it is disconnected.
     pub stall_timeout: Duration,
-    /// Subscribers at most, those waiting included; past it they are rejected.
+    /// Maximum number of subscribers, including waiting ones. Others are rejected.
     pub max_subscribers: usize,
-    /// Shortest time after which one that was rejected is to come again.
+    /// Minimum `Retry-After` of a rejection.
     pub retry_after: Duration,
-    /// Random time added to `retry_after` at most.
+    /// Maximum random time added to `retry_after`.
     pub retry_jitter: Duration,
-    /// Time between two position reports upstream.
+    /// Minimum time between two position reports to upstream.
     pub report_interval: Duration,
-    /// Bounds of the positions.
+    /// Limits of the position aggregate.
     pub positions: PositionLimits,
     /// Scopes by name.
     pub scopes: BTreeMap<String, Scope>,
-    /// Level of the gzip encoding, 0 to 9.
+    /// Gzip compression level, 0 to 9.
     pub gzip_level: u32,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
 }
 
--- a/crates/distribution/src/relay/subscribers.rs
+++ b/crates/distribution/src/relay/subscribers.rs
@@ -1,4 +1,4 @@
-//! The subscribers of a relay: what each one reads, their deadlines, and the queue for admission.
+//! The subscribers of a relay: their read states, deadlines, and the admission queue.
 use super::encoder::{PieceFormat, ScopeIndex};
 use super::messages::{SubscribeRequest, SubscriberId};
 use super::ring::BatchNumber;
@@ -7,19 +7,19 @@
 use larchway::MonotonicTime;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of state a subscriber beside its name and its entries in the ordered tables.
+/// Bytes of state per subscriber, excluding its name and its entries in the ordered tables.
 pub const SUBSCRIBER_BYTES: usize = std::mem::size_of::<Subscriber>();
 
-/// What a subscriber reads next.
+/// The data that a subscriber reads next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadState {
-    /// It waits for readiness or catch-up; its position in the queue.
+    /// Nothing: it waits for readiness or catch-up at this position in the queue.
     Waiting(u64),
-    /// It reads a snapshot next, then pages.
+    /// A snapshot, followed by pages or batches.
     Snapshot,
-    /// It reads pages of the log.
+    /// Pages of the log.
     CatchUp,
-    /// It reads this batch next.
+    /// The live batch with this number.
     Live(BatchNumber),
 }
 
@@ -29,11 +29,11 @@
     }
 }
 
-/// A request that waits for admission.
+/// A request waiting for admission.
 #[derive(Debug)]
 pub(super) struct WaitingRequest {
     pub request: SubscribeRequest,
-    /// When it came.
+    /// Time of the request.
     pub since: MonotonicTime,
 }
 
@@ -44,12 +44,12 @@
     pub encoding: Encoding,
     pub scope: Option<ScopeIndex>,
     pub name: Option<Box<str>>,
-    /// Its request, while it waits for admission.
+    /// The request while the subscriber waits for admission.
     pub waiting: Option<Box<WaitingRequest>>,
     pub header_sent: bool,
-    /// Whether it has gone back to catch-up before.
+    /// Whether the subscriber has already returned to catch-up once.
     pub fell_behind: bool,
-    /// When it pulled something last.
+    /// Time at which the subscriber last pulled a piece or was accepted.
     pub progress: MonotonicTime,
     deadline: MonotonicTime,
 }
@@ -60,14 +60,14 @@
     }
 }
 
-/// All subscribers. Each step costs O(log n).
+/// All subscribers of a relay. Each operation on one subscriber costs O(log n).
 #[derive(Debug, Default)]
 pub(super) struct Subscribers {
-    /// At most `RelaySettings::max_subscribers`; the caller checks before it inserts.
+    /// At most `RelaySettings::max_subscribers`, which the caller checks before inserting.
     by_id: BTreeMap<SubscriberId, Subscriber>,
-    /// One deadline a subscriber.
+    /// At most one deadline per subscriber.
     deadlines: BTreeSet<(MonotonicTime, SubscriberId)>,
-    /// Those that wait, first come first.
+    /// Waiting subscribers by position, in order of arrival.
     queue: BTreeMap<u64, SubscriberId>,
     next_in_queue: u64,
     catching_up: usize,
@@ -98,7 +98,7 @@
         self.by_id.keys().copied().collect()
     }
 
-    /// Adds a subscriber; the caller sets its deadline.
+    /// Adds a subscriber. The caller sets its deadline.
     pub(super) fn insert(
         &mut self,
         id: SubscriberId,
@@ -123,7 +123,7 @@
         self.by_id.insert(id, subscriber);
     }
 
-    /// Adds a subscriber at the end of the queue; the caller sets its deadline.
+    /// Adds a subscriber at the end of the queue. The caller sets its deadline.
     pub(super) fn insert_waiting(
         &mut self,
         id: SubscriberId,
@@ -149,17 +149,17 @@
         Some(subscriber)
     }
 
-    /// Whether a subscriber waits for readiness or catch-up.
+    /// Whether a subscriber is waiting for readiness or catch-up.
     pub(super) fn is_waiting(&self, id: SubscriberId) -> bool {
         self.by_id.get(&id).is_some_and(|subscriber| matches!(subscriber.state, ReadState::Waiting(_)))
     }
 
-    /// Those that wait, first come first.
+    /// Waiting subscribers in order of arrival.
     pub(super) fn waiting_ids(&self) -> Vec<SubscriberId> {
         self.queue.values().copied().collect()
     }
 
-    /// The one that waits longest.
+    /// The subscriber that has waited longest.
     pub(super) fn first_waiting(&self) -> Option<SubscriberId> {
         self.queue.first_key_value().map(|(_, id)| *id)
     }
@@ -182,7 +182,7 @@
         self.deadlines.insert((deadline, id));
     }
 
-    /// Brings a subscriber's deadline forward to this time, if it is later.
+    /// Brings a subscriber's deadline forward to `latest` if it is later than that.
     pub(super) fn limit_deadline(&mut self, id: SubscriberId, latest: MonotonicTime) {
         let deadline = self.by_id.get(&id).map(|subscriber| subscriber.deadline);
         if deadline.is_some_and(|deadline| deadline > latest) {
@@ -194,7 +194,7 @@
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// The subscriber whose deadline came first, if that is over.
+    /// The subscriber with the earliest deadline, if that has passed.
     pub(super) fn expired(&self, now: MonotonicTime) -> Option<SubscriberId> {
         self.deadlines.first().filter(|(deadline, _)| *deadline <= now).map(|(_, id)| *id)
     }
--- a/crates/distribution/src/relay/upstream.rs
+++ b/crates/distribution/src/relay/upstream.rs
@@ -1,4 +1,4 @@
-//! What comes from upstream: events, heartbeats, gaps, and a history that differs.
+//! Handling of input from upstream: events, heartbeats, gaps, and a different history.
 use super::encoder::OutgoingEvent;
 use super::history_mismatch::HistoryMismatch;
 use super::messages::{DisconnectReason, Output, RejectReason};
@@ -10,7 +10,7 @@
 use larchway_unix_time::UnixMicros;
 
 impl Relay {
-    /// The next event from upstream.
+    /// Handles the next event from upstream.
     pub(super) fn handle_event(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
         let outgoing = OutgoingEvent::of_event(&event);
         match self.log.append(event.clone()) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A heartbeat from upstream, which comes only when all events before it have.
+    /// Handles a heartbeat from upstream, which is sent only after all earlier events.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -36,7 +36,8 @@
         }
     }
 
-    /// The first event after a gap. Subscribers see the same jump of numbers, which is their floor (E1).
+    /// Handles the first event after a gap. Subscribers see the same jump in the numbers and discard copies from before
+    /// it (E1).
     pub(super) fn handle_gap(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Output>) {
         let last = self.log.last();
         if event.number <= last {
@@ -51,7 +52,7 @@
         self.add_to_batch(now, outgoing, out);
     }
 
-    /// Upstream has another history: nothing that was forwarded can be relied on.
+    /// Stops serving because upstream has a different history, which makes all forwarded events unreliable.
     pub(super) fn stop_serving(
         &mut self,
         now: MonotonicTime,
@@ -75,7 +76,8 @@
         out.push(Output::StopServing(mismatch));
     }
 
-    /// Disconnects all that read. Without a jump of numbers they would not see that something is missing (E1).
+    /// Disconnects all subscribers that are not waiting. Without a jump in the numbers they would not notice that
+    /// events are missing (E1).
     fn disconnect_all(&mut self, now: MonotonicTime, reason: DisconnectReason, out: &mut Vec<Output>) {
         for id in self.subscribers.ids() {
             if !self.subscribers.is_waiting(id) {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Seals the open batch, if there is anything in it.
+    /// Seals the open batch unless it is empty.
     pub(super) fn seal(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         if self.ring.seal(now) == BatchState::Sealed {
             out.push(Output::BatchSealed);
--- a/crates/distribution/src/scope.rs
+++ b/crates/distribution/src/scope.rs
@@ -1,11 +1,11 @@
-//! A scope: the part of the list of stores that a group of subscribers needs.
+//! Scopes: the subset of the store list that a group of subscribers needs.
 use crate::event::{EventNumber, ListKind};
 use crate::stores::{ListEvent, StoreEntry};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Stores by site and class, and the sources from which the caches among them are filled.
+/// A selection of stores by site and class, and of the sources from which the caches among them are filled.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Scope {
@@ -15,7 +15,7 @@
     /// Classes whose stores belong to the scope; all classes if empty.
     #[serde(default)]
     pub classes: Vec<String>,
-    /// Stores that belong to the scope besides: parents and origins, from which the stores of the sites are filled.
+    /// Further stores that belong to the scope: the parents and origins from which the stores of the sites are filled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sources: Option<SourceScope>,
 }
@@ -38,17 +38,17 @@
 }
 
 impl Scope {
-    /// Whether an entry of the list belongs to the scope. One that does not say its site or class passes.
+    /// Whether a store list entry belongs to the scope. An entry without a site or class matches any site or class.
     pub fn contains(&self, store: &StoreEntry) -> bool {
         let is_own = allows(&self.sites, store.site.as_ref()) && allows(&self.classes, store.class.as_ref());
         is_own || self.sources.as_ref().is_some_and(|sources| sources.contains(store))
     }
 
-    /// The data of a list event reduced to this scope; what is no list passes unchanged. A store that a change puts
-    /// outside of the scope is taken off: it may have belonged to it before.
+    /// The data of a list event reduced to this scope; the data of other events is returned unchanged. In a delta, a
+    /// store outside of the scope becomes a removal, because it may have belonged to the scope before.
     ///
-    /// The result depends on the event's text alone. Relays that know different parts of the history send the same
-    /// text, by whose digest subscribers move between them.
+    /// The result depends on the event's text alone, so relays that hold different parts of the history send the same
+    /// text. Subscribers rely on its digest when they move between relays.
     pub fn filter(&self, number: EventNumber, data: &str) -> String {
         let Some(mut event) = ListEvent::read(data) else { return data.to_string() };
         event.stores = match event.kind {
@@ -58,7 +58,7 @@
         event.data(number)
     }
 
-    /// An entry of the scope unchanged, and the removal of any other store.
+    /// Returns a store of the scope unchanged, and a removal for any other store.
     fn reduce(&self, store: StoreEntry) -> StoreEntry {
         match self.contains(&store) {
             true => store,
@@ -66,7 +66,8 @@
         }
     }
 
-    /// The entries of a full list that belong to the scope. One that names a store twice counts by the last entry.
+    /// The entries of a full list that belong to the scope. All entries of a store that is listed more than once are
+    /// returned, those outside of the scope as removals, because the last entry decides.
     fn filter_full(&self, stores: Vec<StoreEntry>) -> Vec<StoreEntry> {
         let mut entries_by_host: BTreeMap<String, usize> = BTreeMap::new();
         for store in &stores {
--- a/crates/distribution/src/stores.rs
+++ b/crates/distribution/src/stores.rs
@@ -1,41 +1,42 @@
-//! The list of stores as events carry it, and the full list merged from them.
+//! The store list as carried by events, and the full list merged from these events.
 use crate::event::{EventNumber, ListKind};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most stores remembered. With more, the list counts as unknown and no snapshot is given until a full list fits.
+/// Maximum number of stores. If a list exceeds it, the list counts as unknown and no snapshot is available until a full
+/// list fits.
 pub const MAX_STORES: usize = 32_768;
 
-/// The state of a store in its entry that takes it off the list.
+/// The `health` value of an entry that removes the store from the list.
 const REMOVED: &str = "removed";
 
-/// One store's entry, its JSON text unchanged.
+/// A store's list entry with its unchanged JSON text.
 #[derive(Debug, Clone)]
 pub struct StoreEntry {
     /// Host name.
     pub host: String,
-    /// Site, as text; none where the entry does not say.
+    /// Name or index of the site, as text; absent if the entry has none.
     pub site: Option<String>,
-    /// Class, as text; none where the entry does not say.
+    /// Name or index of the class, as text; absent if the entry has none.
     pub class: Option<String>,
-    /// Whether the store leaves the list by this entry.
+    /// Whether this entry removes the store from the list.
     pub removed: bool,
-    /// The entry as it came.
+    /// The entry's JSON text as received.
     pub json: Arc<str>,
 }
 
-/// A list event: the full list or a change to it.
+/// The store list part of an event: the full list or a delta.
 #[derive(Debug, Clone)]
 pub struct ListEvent {
     /// Sequence number of the list.
     pub sequence: u64,
-    /// What the entries are.
+    /// Whether `stores` is the full list or a delta.
     pub kind: ListKind,
-    /// The entries.
+    /// The entries in the order of the event.
     pub stores: Vec<StoreEntry>,
-    /// The documents of the same event, their JSON text unchanged.
+    /// The unchanged JSON text of the documents in the same event, if any.
     pub documents: Option<Arc<str>>,
 }
 
@@ -67,7 +68,7 @@
     health: Option<String>,
 }
 
-/// The entry that takes a store off the list.
+/// The serialized form of a removal entry.
 #[derive(Serialize)]
 struct RemovalOutput<'a> {
     host: &'a str,
@@ -92,7 +93,7 @@
     hosts: Vec<&'a RawValue>,
 }
 
-/// A name or an index into the configured names, as text.
+/// Converts a site or class, given as a name or as an index into the configured names, to text.
 fn site_or_class_text(value: serde_json::Value) -> Option<String> {
     match value {
         serde_json::Value::String(name) => Some(name),
@@ -102,7 +103,7 @@
 }
 
 impl StoreEntry {
-    /// The entry that takes a store off the list, whatever its site and class.
+    /// An entry that removes a store from the list. It has no site and no class, so it matches every scope.
     pub fn removal(host: String) -> StoreEntry {
         let output = RemovalOutput { host: &host, health: REMOVED };
         let json = serde_json::to_string(&output).unwrap_or_default().into();
@@ -122,7 +123,7 @@
 }
 
 impl ListEvent {
-    /// Reads the list out of an event's data; none where it carries none that can be read.
+    /// Reads the store list from an event's data. Returns `None` if there is no readable list.
     pub fn read(data: &str) -> Option<ListEvent> {
         let event = serde_json::from_str::<EventForm>(data).ok()?;
         let list = event.roster?;
@@ -132,7 +133,7 @@
         Some(ListEvent { sequence: list.sequence, kind, stores, documents })
     }
 
-    /// The data of an event under `number` that carries this list.
+    /// The data of an event with this number that carries this list.
     pub fn data(&self, number: EventNumber) -> String {
         let list = ListHead { sequence: self.sequence, kind: self.kind };
         let entries = self.stores.iter().map(|store| &*store.json);
@@ -140,18 +141,18 @@
     }
 }
 
-/// A text as JSON; none if it is not.
+/// Returns the text as raw JSON, or `None` if it is not valid JSON.
 fn parse_raw_json(json: &str) -> Option<&RawValue> {
     serde_json::from_str(json).ok()
 }
 
-/// What a list event says of the list beside its entries.
+/// The fields of a list event other than its entries.
 struct ListHead {
     sequence: u64,
     kind: ListKind,
 }
 
-/// The data of a list event made from entries and documents in JSON.
+/// Serializes a list event from entries and documents that are already JSON.
 fn list_data<'a>(
     number: EventNumber,
     list: ListHead,
@@ -168,13 +169,13 @@
 #[derive(Debug, Clone, Default)]
 pub struct StoreList {
     sequence: u64,
-    /// By host name; at most [`MAX_STORES`], see there.
+    /// Entries by host name. Bounded by [`MAX_STORES`]; the list is cleared when it would exceed that.
     stores: BTreeMap<String, StoreEntry>,
     complete: bool,
 }
 
 impl StoreList {
-    /// Takes in a list event. Cost: O(log n) an entry.
+    /// Applies a list event. Costs O(log n) per entry.
     pub fn apply(&mut self, event: ListEvent) {
         self.sequence = event.sequence;
         if event.kind == ListKind::Full {
@@ -198,13 +199,13 @@
         self.stores.insert(store.host.clone(), store);
     }
 
-    /// Drops the list: it is unknown until the next full one.
+    /// Clears the list. It is incomplete until the next full list.
     pub fn clear(&mut self) {
         self.stores.clear();
         self.complete = false;
     }
 
-    /// Whether a full list came and every change since.
+    /// Whether the list is based on a full list and includes every change since.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
@@ -214,13 +215,13 @@
         self.stores.len()
     }
 
-    /// Whether no store is listed.
+    /// Whether the list has no stores.
     pub fn is_empty(&self) -> bool {
         self.stores.is_empty()
     }
 
-    /// The full list as one event, of the stores that pass `filter`, with the JSON text of all documents, if any; none
-    /// while it is not complete.
+    /// Serializes the stores that pass `filter`, and the JSON text of all documents if given, as one full list event.
+    /// Returns `None` while the list is incomplete.
     pub fn snapshot(
         &self,
         number: EventNumber,
--- a/crates/distribution/src/subscriber.rs
+++ b/crates/distribution/src/subscriber.rs
@@ -1,11 +1,11 @@
-//! A subscriber to numbered events: of a gateway or of a relay, to the source of events itself or to relays.
+//! The subscriber to numbered events that gateways and relays use. It connects to the source of events or to relays.
 //!
-//! It decides which source is dialled and when, which events are applied, and what is missing. The caller owns the
-//! connection and the decoder: it hands in what it reads by [`Subscriber::handle`] and carries out the [`Output`]s.
-//! Events are applied in order, once (E2); whatever is skipped is reported as a gap before the next one (E1).
+//! It decides when to dial which source, which events to apply, and which are missing. The caller owns the connection
+//! and the decoder: it passes input to [`Subscriber::handle`] and carries out the [`Output`]s. Events are applied once
+//! and in order (E2); skipped events are reported as a gap before the next event (E1).
 //!
-//! A caller decodes each piece of input, hands in [`Input::BytesReceived`], then each event and comment in its order,
-//! and applies the event when it gets [`Output::Apply`] for it. After [`Output::Close`] it drops the rest of the piece.
+//! For each decoded piece, the caller passes [`Input::BytesReceived`], then each event and comment in order, and
+//! applies an event when it gets [`Output::Apply`] for it. After [`Output::Close`] it drops the rest of the piece.
 mod dialing;
 mod link;
 mod messages;
@@ -25,25 +25,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Silence after which a source is left: it sends something each second.
+/// Time without data after which a source is left. Sources send at least a heartbeat every second.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time that a relay may leave a request unanswered: it holds those back that are too many to catch up at once.
+/// Time that a relay may take to answer a request. Relays queue requests beyond their limit of concurrent catch-ups.
 pub const ADMISSION_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time in which a plain source must repeat the event that the history is compared by.
+/// Time within which a plain source must resend the event that is used to compare histories.
 const OVERLAP_TIMEOUT: Duration = Duration::from_secs(5);
-/// Events requested again, at most, to compare histories when those at the cursor have no digest.
+/// Maximum number of events that are requested again from a plain source to compare histories. More than one is needed
+/// when the events at the cursor have no digest.
 const MAX_OVERLAP_EVENTS: EventNumber = 1000;
 
-/// What [`Subscriber::advance`] has done.
+/// Result of [`Subscriber::advance`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CursorChange {
-    /// The cursor was before that event, and is there now.
+    /// The cursor was before that event and has moved to it.
     Advanced,
-    /// The cursor was there already, or past it.
+    /// The cursor was already at or past that event.
     Unchanged,
 }
 
-/// A subscriber. Its state is constant in size.
+/// A subscriber's state, which is constant in size.
 #[derive(Debug)]
 pub struct Subscriber {
     settings: SubscriberSettings,
@@ -52,20 +53,21 @@
     link: Link,
     /// The last event applied; 0 before the first.
     cursor: EventNumber,
-    /// The last event applied whose digest identifies the history.
+    /// The last applied event whose digest identifies the history.
     reference_event: Option<ReferenceEvent>,
-    /// The cursor at which the next event was missing or unreadable, when it was requested once more.
+    /// The cursor after which a missing or unreadable event was last requested a second time.
     retried_cursor: Option<EventNumber>,
-    /// When the source was last known to be alive, by the last comment.
+    /// Time at which the source was last known to be alive, from the last comment.
     source_alive_at: Option<MonotonicTime>,
-    /// The same by the clock of the root relay.
+    /// The same time by the clock of the root relay.
     source_alive_unix: Option<UnixMicros>,
     anchor: Anchor,
     gaps: u64,
 }
 
 impl Subscriber {
-    /// A subscriber that has applied events up to a number; it dials at the first tick. The seed decides its jitter.
+    /// Creates a subscriber that has applied the events up to `cursor`. It dials at the first tick. `seed` determines
+    /// the jitter of its pauses.
     pub fn new(
         now: MonotonicTime,
         settings: SubscriberSettings,
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Puts other settings in force. A connection that the settings would make otherwise is closed.
+    /// Applies new settings. The connection is closed if anything other than the maximum backoff has changed.
     pub fn configure(&mut self, now: MonotonicTime, settings: SubscriberSettings, out: &mut Vec<Output>) {
         let without_backoff = |settings: &SubscriberSettings| SubscriberSettings {
             max_backoff: Duration::ZERO,
@@ -107,8 +109,8 @@
         self.link = Link::before_dial(now, !self.settings.sources.is_empty());
     }
 
-    /// Events up to this number are applied by other means, such as a configuration that holds them. No event lies past
-    /// [`MAX_EVENT_NUMBER`].
+    /// Advances the cursor because events up to this number were applied by other means, for instance from a
+    /// configuration that contains them. Numbers beyond [`MAX_EVENT_NUMBER`] are limited to it.
     pub fn advance(&mut self, number: EventNumber) -> CursorChange {
         let number = number.min(MAX_EVENT_NUMBER);
         if number <= self.cursor {
@@ -118,49 +120,49 @@
         CursorChange::Advanced
     }
 
-    /// Sets the clocks by which relays' heartbeats are read; without it, monotonic instants are those of the Unix
-    /// clock.
+    /// Sets the anchor that converts the Unix times of relays' heartbeats to monotonic times. Without it, both clocks
+    /// are assumed to be equal.
     pub fn set_anchor(&mut self, anchor: Anchor) {
         self.anchor = anchor;
     }
 
-    /// When the source was last known to be alive, by the clock of the root relay: for relays, which forward it.
+    /// Time at which the source was last known to be alive, by the clock of the root relay. Relays forward it.
     pub fn source_alive_unix(&self) -> Option<UnixMicros> {
         self.source_alive_unix
     }
 
-    /// The last event applied.
+    /// Number of the last event applied; 0 before the first.
     pub fn cursor(&self) -> EventNumber {
         self.cursor
     }
 
-    /// The source that is connected or dialled next.
+    /// The source that is connected or will be dialled next.
     pub fn source(&self) -> Option<SocketAddr> {
         self.sources.current()
     }
 
-    /// Gaps and skipped events so far.
+    /// Number of gaps and skipped events so far.
     pub fn gaps(&self) -> u64 {
         self.gaps
     }
 
-    /// Whether all that the connected source had at its last comment is applied.
+    /// Whether a comment has shown that all events of the connected source have been received.
     pub fn caught_up(&self) -> bool {
         matches!(self.link, Link::Connected(Connection { caught_up: true, .. }))
     }
 
-    /// How old the state is that the events applied make up: the time since the source was last known to be alive with
-    /// all events before applied. None before that was first known.
+    /// Age of the applied state: time since the source was last known to be alive with all earlier events applied.
+    /// `None` until that is first known.
     pub fn lag(&self, now: MonotonicTime) -> Option<Duration> {
         self.source_alive_at.map(|alive_at| now.saturating_since(alive_at))
     }
 
-    /// When [`Input::Tick`] is wanted.
+    /// Time at which the caller has to pass [`Input::Tick`]; `None` without sources.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         self.link.next_due()
     }
 
-    /// Takes in what has happened and appends what the caller has to do.
+    /// Processes an input and appends the actions for the caller to `out`.
     pub fn handle(&mut self, now: MonotonicTime, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Tick => self.tick(now, out),
--- a/crates/distribution/src/subscriber/dialing.rs
+++ b/crates/distribution/src/subscriber/dialing.rs
@@ -1,4 +1,4 @@
-//! Which request goes to the current source, and how a source is left for the next.
+//! Requests to the current source, and failover to the next.
 use super::link::{Connection, Link, Overlap, ReferenceEvent};
 use super::messages::{GapReason, LeaveReason, Output, SourceKind};
 use super::request::Subscription;
@@ -8,16 +8,16 @@
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// The HTTP status of a relay with another history than the subscriber's.
+/// The HTTP status of a relay whose history differs from the subscriber's.
 const PRECONDITION_FAILED: u16 = 412;
 
-/// How a request makes a source show that its history is the subscriber's.
+/// The request parameters that verify that a source has the subscriber's history.
 struct Verification {
-    /// The events after this one are requested.
+    /// Number of the event after which events are requested.
     after: EventNumber,
-    /// The digest by which a relay compares histories.
+    /// The digest that a relay compares with its own.
     if_match: Option<u64>,
-    /// The event that a plain source is to repeat.
+    /// The event that a plain source has to resend.
     overlap: Option<Overlap>,
 }
 
@@ -59,24 +59,25 @@
         }
     }
 
-    /// The event by which the next source's history is compared.
+    /// The event used to compare histories with the next source; `None` if there is none or verification is off.
     fn verification_event(&self) -> Option<ReferenceEvent> {
-        // A relay compares by its digests; a plain source has to send all from the known event on again.
+        // A relay compares digests. A plain source has to resend all events from the reference event on, so that event
+        // must be recent.
         let is_relay = self.settings.kind == SourceKind::Relay;
         let is_recent =
             |reference: &ReferenceEvent| is_relay || self.cursor - reference.number <= MAX_OVERLAP_EVENTS;
         self.reference_event.filter(is_recent).filter(|_| self.settings.verify)
     }
 
-    /// Gives up the cursor. Danger: where nothing shows which history it was in, what follows it elsewhere may be of
-    /// another one, and purges of both would be missed.
+    /// Resets the cursor because its history is unknown or rejected. Events after the same number at another source may
+    /// belong to a different history, and purges would be missed.
     fn reset_cursor(&mut self, reason: GapReason, out: &mut Vec<Output>) {
         self.report_gap(reason, out);
-        // What was requested once more stays so: one unreadable event behind a snapshot must not be requested for ever.
+        // `retried_cursor` is not reset, or an unreadable event after a snapshot would be requested again forever.
         self.cursor = 0;
     }
 
-    /// The source answered with another status than 200.
+    /// Handles a response with a status other than 200.
     pub(super) fn handle_refusal(
         &mut self,
         now: MonotonicTime,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The source has another history, or cannot show that it has the same.
+    /// Leaves a source that has a different history or cannot prove that it has the same.
     pub(super) fn reject_history(&mut self, now: MonotonicTime, reason: LeaveReason, out: &mut Vec<Output>) {
         let disagreement = self.sources.record_disagreement();
         self.fail_over(now, reason, out);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Closes the connection to the current source, if there is one.
+    /// Closes the connection to the current source, if any.
     pub(super) fn close_connection(&mut self, reason: LeaveReason, out: &mut Vec<Output>) {
         if matches!(self.link, Link::Connected(_)) {
             out.push(Output::Close(reason));
@@ -111,13 +112,13 @@
         out.push(Output::Disconnected);
     }
 
-    /// Leaves the current source for the next one.
+    /// Closes the connection and schedules the next source.
     pub(super) fn fail_over(&mut self, now: MonotonicTime, reason: LeaveReason, out: &mut Vec<Output>) {
         self.close_connection(reason, out);
         self.schedule_next(now);
     }
 
-    /// The current source is of no use: the next one is dialled after a pause.
+    /// Schedules the dial of the next source after a pause.
     pub(super) fn schedule_next(&mut self, now: MonotonicTime) {
         if !matches!(self.link, Link::Idle) {
             self.link = Link::Waiting { until: self.sources.advance_after_failure(now) };
--- a/crates/distribution/src/subscriber/link.rs
+++ b/crates/distribution/src/subscriber/link.rs
@@ -1,45 +1,45 @@
-//! The connection of a subscriber to its source.
+//! The state of a subscriber's connection to its source.
 use crate::event::EventNumber;
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// An event by whose data histories are compared.
+/// An event whose digest is used to compare histories.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReferenceEvent {
     pub number: EventNumber,
     pub digest: u64,
 }
 
-/// The event that a plain source is to repeat first, and until when.
+/// The event that a plain source has to resend first, and the deadline for it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Overlap {
     pub event: ReferenceEvent,
     pub until: MonotonicTime,
 }
 
-/// A connection to the current source, from its dial on.
+/// A connection to the current source, from the dial on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Connection {
-    /// The events after this one were requested.
+    /// Number of the event after which events were requested.
     pub after: EventNumber,
-    /// When it is given up, if nothing comes until then.
+    /// Time at which the connection is closed if no data arrives before.
     pub silent_at: MonotonicTime,
-    /// Whether an event came.
+    /// Whether an event was received.
     pub has_events: bool,
-    /// Whether a comment came: the source has nothing more to send now.
+    /// Whether a comment was received, which means that all events of the source have been sent.
     pub caught_up: bool,
-    /// By how much its heartbeats lie ahead of the clock here, at most.
+    /// Largest amount by which the source's heartbeats were ahead of the local clock.
     pub clock_lead: Duration,
-    /// What is awaited before its history is known to be the same.
+    /// The event still expected as proof that the source has the same history.
     pub overlap: Option<Overlap>,
 }
 
 /// The state of a subscriber's connection.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Link {
-    /// There is no source.
+    /// There are no sources.
     Idle,
-    /// The current source is dialled at this time.
+    /// The current source will be dialled at this time.
     Waiting {
         until: MonotonicTime,
     },
@@ -47,7 +47,7 @@
 }
 
 impl Link {
-    /// Before the first dial, which is due now if there is a source.
+    /// The state before the first dial, which happens at the next tick if there is a source.
     pub(super) fn before_dial(now: MonotonicTime, has_source: bool) -> Link {
         match has_source {
             true => Link::Waiting { until: now },
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The connection, if there is one.
+    /// The current connection, if any.
     pub(super) fn connection_mut(&mut self) -> Option<&mut Connection> {
         match self {
             Link::Connected(connection) => Some(connection),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// When a tick is wanted.
+    /// Time at which the next tick is needed; `None` without sources.
     pub(super) fn next_due(&self) -> Option<MonotonicTime> {
         match self {
             Link::Idle => None,
--- a/crates/distribution/src/subscriber/messages.rs
+++ b/crates/distribution/src/subscriber/messages.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of a subscriber, and its settings.
+//! Inputs, outputs and settings of a subscriber.
 use super::request::Subscription;
 use crate::batch::placeholder;
 use crate::event::{Event, EventNumber, Subject};
@@ -6,77 +6,77 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What listens at the addresses of a subscriber.
+/// The kind of source that a subscriber connects to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceKind {
-    /// The source of events itself. It ignores `If-Match`, and any byte from it shows that it is alive.
+    /// The source of events itself. It ignores `If-Match`, and any byte from it proves that it is alive.
     Plain,
-    /// Relays: they compare histories, and send a heartbeat only while the source is alive.
+    /// Relays, which compare histories and send heartbeats only while the source is alive.
     Relay,
 }
 
 /// Settings of a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubscriberSettings {
-    /// Where events come from, in order of preference; none: nothing is dialled.
+    /// Addresses of the sources in order of preference. If empty, nothing is dialled.
     pub sources: Vec<SocketAddr>,
-    /// What listens there.
+    /// Kind of all sources.
     pub kind: SourceKind,
-    /// Whether the history of each source is compared with what was applied.
+    /// Whether the history of each source is compared with the applied events.
     pub verify: bool,
-    /// Whether a history that all sources refuse is given up for theirs. It is reported as a gap, and begins with a
-    /// snapshot. Without it, the subscriber goes on requesting its own.
+    /// Whether to switch to the sources' history when all of them reject the subscriber's. The switch is reported as a
+    /// gap and begins with a snapshot. Otherwise the subscriber keeps requesting its own history.
     pub restart_history: bool,
-    /// Whether gzip is accepted.
+    /// Whether to accept gzip.
     pub gzip: bool,
-    /// The scope that list events are reduced to, if any.
+    /// Name of the scope that list events are reduced to, if any.
     pub scope: Option<String>,
-    /// The longest pause between two attempts; shorter than the time in which an event must be applied.
+    /// Maximum pause between two attempts. Must be shorter than the time within which events must be applied.
     pub max_backoff: Duration,
 }
 
-/// What happens to a subscriber.
+/// An input to a subscriber.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Input<'a> {
     /// The time of [`super::Subscriber::next_due`] has come.
     Tick,
-    /// Bytes came in on the connection and could be read. Comes before the events and comments that they hold.
+    /// Bytes were received and decoded. Passed before the events and comments in them.
     BytesReceived,
-    /// An event, in the order of the stream.
+    /// The next event of the stream.
     Event(EventMetadata),
-    /// A comment line, without its colon.
+    /// A comment line without the leading colon.
     Comment(&'a str),
-    /// The source answered with another status than 200.
+    /// The source answered with a status other than 200.
     Refused {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// `Retry-After`; heeded up to [`MAX_RETRY_AFTER`](super::MAX_RETRY_AFTER).
+        /// Value of `Retry-After`; limited to [`MAX_RETRY_AFTER`](super::MAX_RETRY_AFTER).
         retry_after: Option<Duration>,
     },
-    /// What came cannot be read as a stream of events.
+    /// The received bytes are not a valid event stream.
     Malformed,
-    /// The connection was closed by the other side, or could not be made.
+    /// The connection was closed by the source, or connecting failed.
     Disconnected,
-    /// The connection could not even be begun.
+    /// The connection attempt failed immediately.
     ConnectFailed,
 }
 
-/// What a subscriber needs to know of an event.
+/// The properties of an event that a subscriber needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventMetadata {
-    /// Its number; none if the event cannot be read.
+    /// Event number; absent if the event cannot be read.
     pub number: Option<EventNumber>,
-    /// Digest of its data, in the scope that was requested; none for a placeholder, which says nothing of the history.
+    /// Digest of the data in the requested scope; absent for a placeholder, which does not identify the history.
     pub digest: Option<u64>,
-    /// Whether it is a full list, which relays send as a snapshot.
+    /// Whether the event is a full store list. Relays send snapshots in this form.
     pub is_full_list: bool,
 }
 
 impl EventMetadata {
-    /// That of an event that cannot be read.
+    /// Metadata of an event that cannot be read.
     pub const UNREADABLE: EventMetadata = EventMetadata { number: None, digest: None, is_full_list: false };
 
-    /// That of an event as it came.
+    /// Metadata of a received event.
     pub fn of_event(event: &Event) -> EventMetadata {
         let is_placeholder = *event.data == *placeholder(event.number);
         EventMetadata {
@@ -87,53 +87,53 @@
     }
 }
 
-/// Why a source is left.
+/// Reasons for leaving a source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// It sent nothing, or no heartbeat, for too long.
+    /// No data was received within the timeout.
     Silent,
-    /// Events after the cursor are missing; they are requested once more.
+    /// Events after the cursor are missing; they are requested a second time.
     EventMissing,
-    /// An event cannot be read; it is requested once more.
+    /// An event cannot be read; it is requested a second time.
     EventUnreadable,
-    /// It has another history.
+    /// The source has a different history.
     OtherHistory,
-    /// It does not have the event of the cursor.
+    /// The source does not have the event at the cursor.
     Behind,
-    /// It answered with this status.
+    /// The source answered with this HTTP status.
     Refused(u16),
-    /// What it sent cannot be read.
+    /// The source sent invalid data.
     Malformed,
-    /// The settings name other sources.
+    /// The settings have changed.
     Reconfigured,
 }
 
 impl std::fmt::Display for LeaveReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            LeaveReason::Silent => write!(f, "it has gone silent"),
+            LeaveReason::Silent => write!(f, "no data received in time"),
             LeaveReason::EventMissing => write!(f, "an event is missing"),
             LeaveReason::EventUnreadable => write!(f, "an event cannot be read"),
-            LeaveReason::OtherHistory => write!(f, "it tells another history"),
-            LeaveReason::Behind => write!(f, "it is behind"),
+            LeaveReason::OtherHistory => write!(f, "its event history differs"),
+            LeaveReason::Behind => write!(f, "it does not have the last applied event"),
             LeaveReason::Refused(status) => write!(f, "it answered {status}"),
-            LeaveReason::Malformed => write!(f, "what it sent cannot be read"),
-            LeaveReason::Reconfigured => write!(f, "the sources are others now"),
+            LeaveReason::Malformed => write!(f, "it sent invalid data"),
+            LeaveReason::Reconfigured => write!(f, "the settings have changed"),
         }
     }
 }
 
-/// Why events are missing.
+/// Reasons for a gap in the applied events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GapReason {
-    /// The sources don't have the events before this one any more; it is the next to be applied.
+    /// The sources no longer have the events before the next one.
     EventsMissing {
-        /// Number of the next event.
+        /// Number of the event that is applied next.
         next: EventNumber,
     },
-    /// All sources have another history than what was applied: theirs is read from its beginning.
+    /// All sources have a different history, which is read from its beginning.
     OtherHistory,
-    /// The history of the events applied is unknown: the one of the source is read from its beginning.
+    /// The history of the applied events is unknown. The source's history is read from its beginning.
     HistoryUnknown,
 }
 
@@ -147,26 +147,26 @@
     }
 }
 
-/// What the caller has to do, in order.
+/// An action for the caller. Actions are carried out in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Connect to the source and send the request. If that fails at once: [`Input::ConnectFailed`].
+    /// Connect to the source and send the request. If that fails immediately, pass [`Input::ConnectFailed`].
     Dial(Subscription),
-    /// Close the connection. Events and comments that are still to be handed in from it are to be dropped.
+    /// Close the connection and drop its remaining events and comments.
     Close(LeaveReason),
-    /// The source was alive at that time.
+    /// The source was alive at this time.
     SourceAlive(MonotonicTime),
-    /// There is no connection any more that could show whether the source is alive.
+    /// There is no connection, so it is unknown whether the source is alive.
     Disconnected,
-    /// Events after `after` may be missing, and won't come: whatever they may have purged is void.
+    /// Events after `after` may be missing and will not be sent. Treat everything they may have purged as purged.
     Gap {
-        /// The last event applied.
+        /// Number of the last applied event.
         after: EventNumber,
-        /// Why, and what comes next.
+        /// Why events are missing.
         reason: GapReason,
     },
-    /// Apply the event just handed in.
+    /// Apply the event that was just passed in.
     Apply(EventNumber),
-    /// Skip the event just handed in, which cannot be read: whatever it may have purged is void.
+    /// Skip the unreadable event that was just passed in. Treat everything it may have purged as purged.
     Skip,
 }
