--- a/crates/distribution/src/subscriber/request.rs
+++ b/crates/distribution/src/subscriber/request.rs
@@ -1,4 +1,4 @@
-//! The HTTP requests of a subscriber: for events, and for its position.
+//! The HTTP requests of a subscriber: for events, and to report its position.
 use crate::event::EventNumber;
 use crate::positions::PositionReport;
 use std::fmt::Write;
@@ -7,27 +7,27 @@
 /// Path at which events are served.
 pub const EVENTS_PATH: &str = "/bulletins";
 
-/// Path at which a subscriber reports its position, on the connection of its events.
+/// Path for position reports, which are sent on the connection of the event stream.
 pub const POSITION_PATH: &str = "/bulletins/position";
 
 /// A request for events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Subscription {
-    /// Where it goes.
+    /// Address of the source.
     pub source: SocketAddr,
-    /// `Last-Event-ID`: events after this one are requested.
+    /// Value of `Last-Event-ID`: the events after this number are requested.
     pub after: EventNumber,
-    /// `If-Match`: digest of the data of that event.
+    /// Value of `If-Match`: digest of the data of that event.
     pub if_match: Option<u64>,
     /// Whether gzip is accepted.
     pub gzip: bool,
-    /// The scope that list events are reduced to.
+    /// Name of the scope that list events are reduced to, if any.
     pub scope: Option<String>,
 }
 
 impl Subscription {
-    /// The head of the HTTP request; it has no body. `name`: that of the subscriber, sent as `User-Agent`: a relay
-    /// counts the positions of subscribers by it across connections. A name that no header can hold is left out.
+    /// The head of the HTTP request, which has no body. `name` is the subscriber's name, sent as `User-Agent`; relays
+    /// use it to recognize a subscriber across connections. A name that is not a valid header value is omitted.
     pub fn to_http(&self, name: Option<&str>) -> String {
         let scope = self.scope.as_ref().map(|scope| format!("?scope={scope}")).unwrap_or_default();
         let mut head = format!(
@@ -48,15 +48,15 @@
     }
 }
 
-/// Whether a header's value can hold a text: visible ASCII and spaces within.
+/// Whether the text is a valid header value: visible ASCII characters with inner spaces only.
 fn is_header_value(text: &str) -> bool {
     let legal = text.bytes().all(|byte| byte.is_ascii_graphic() || byte == b' ');
     legal && !text.is_empty() && text.trim() == text
 }
 
-/// The HTTP request that reports a position; it is sent behind the request for events, and gets no response.
+/// The HTTP request that reports a position. It is sent after the request for events and gets no response.
 pub fn position_request(source: SocketAddr, report: &PositionReport) -> String {
-    // A report is numbers and names: there is nothing in it that can't be written as JSON.
+    // Serialization cannot fail: a report contains only numbers and strings.
     let body = serde_json::to_string(report).unwrap_or_default();
     format!(
         "PUT {POSITION_PATH} HTTP/1.1\r\nHost: {source}\r\n\
--- a/crates/distribution/src/subscriber/sources.rs
+++ b/crates/distribution/src/subscriber/sources.rs
@@ -1,43 +1,42 @@
-//! Which source is dialled next, and when: failover to the others, then back-off.
+//! Choice of the source to dial next and when: failover to the other sources, then backoff.
 use larchway::{duration_micros, mix, MonotonicTime};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// First pause between two attempts.
+/// Initial pause between two attempts.
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest random pause before another source is dialled: a relay's subscribers don't all arrive at once.
+/// Maximum random pause before failover, so that the subscribers of a failed relay do not all arrive at once.
 const FAILOVER_JITTER: Duration = Duration::from_millis(50);
 
-/// Longest pause that a source can ask for by `Retry-After`; one that asks for more is dialled again after this one.
-/// Relays ask for 1 to 3 s. A wrong value must not keep a gateway from events for much longer than the 9.1 s within
-/// which purges are to be done everywhere.
+/// Upper limit for `Retry-After`. Relays send 1 to 3 s. The limit keeps a wrong value from cutting a gateway off from
+/// events for much longer than the 9.1 s within which purges must be done everywhere.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Refusals for another history, for each source, from which on sources that do not answer are not waited for.
+/// Rejections for a different history, per source, after which sources that do not answer are ignored.
 const DISAGREEMENTS_PER_SOURCE: usize = 4;
 
-/// How many of the sources have another history than the subscriber's.
+/// How many sources have a history that differs from the subscriber's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disagreement {
-    /// Some of them, as far as is known.
+    /// Some of the sources, as far as known.
     Some,
-    /// All that answer. One that is dead must not withhold the others from the subscriber for ever.
+    /// All sources that answer. A dead source must not block the switch to the others' history forever.
     All,
 }
 
-/// The sources of a subscriber and how their attempts went.
+/// A subscriber's sources and the results of connecting to them.
 #[derive(Debug)]
 pub struct Sources {
     addresses: Vec<SocketAddr>,
-    /// By source, when it may be dialled again at the earliest.
+    /// Earliest time of the next dial, per source.
     not_before: Vec<MonotonicTime>,
-    /// Sources that sent another history since an event was last applied.
+    /// Sources that have shown a different history since an event was last applied.
     disagreeing: BTreeSet<usize>,
-    /// Answers of another history since then.
+    /// Number of rejections for a different history since then.
     disagreements: usize,
     current: usize,
-    /// Attempts in a row that brought nothing.
+    /// Consecutive attempts without received data.
     failures: usize,
     backoff: Duration,
     max_backoff: Duration,
@@ -46,7 +45,7 @@
 }
 
 impl Sources {
-    /// Sources in order of preference.
+    /// Creates the state from the addresses in order of preference.
     pub fn new(addresses: Vec<SocketAddr>, max_backoff: Duration, seed: u64) -> Sources {
         Sources {
             not_before: vec![MonotonicTime::MIN; addresses.len()],
@@ -62,30 +61,30 @@
         }
     }
 
-    /// The source that is connected, or dialled next.
+    /// The source that is connected or will be dialled next.
     pub fn current(&self) -> Option<SocketAddr> {
         self.addresses.get(self.current).copied()
     }
 
-    /// Sets the longest pause.
+    /// Sets the maximum pause between attempts.
     pub fn set_max_backoff(&mut self, max_backoff: Duration) {
         self.max_backoff = max_backoff;
     }
 
-    /// The current source has sent something.
+    /// Resets the backoff because the current source has sent data.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.backoff = INITIAL_BACKOFF;
     }
 
-    /// An event of the current source was applied: its history is the own one.
+    /// Records that an event of the current source was applied, so its history matches.
     pub fn record_agreement(&mut self) {
         self.disagreeing.clear();
         self.disagreements = 0;
     }
 
-    /// The current source has another history. All are dialled in turn meanwhile, and one that agrees begins the count
-    /// anew.
+    /// Records that the current source has a different history. The sources are dialled in turn, and one that agrees
+    /// resets the count.
     pub fn record_disagreement(&mut self) -> Disagreement {
         self.disagreeing.insert(self.current);
         self.disagreements += 1;
@@ -97,14 +96,14 @@
         }
     }
 
-    /// The current source is not to be dialled before this pause is over, [`MAX_RETRY_AFTER`] at most.
+    /// Defers the next dial of the current source by `retry_after`, limited to [`MAX_RETRY_AFTER`].
     pub fn defer(&mut self, now: MonotonicTime, retry_after: Duration) {
         if let Some(not_before) = self.not_before.get_mut(self.current) {
             *not_before = now.saturating_add(retry_after.min(MAX_RETRY_AFTER));
         }
     }
 
-    /// Goes on to the next source. Returns when it is to be dialled.
+    /// Selects the next source after a failure. Returns the time at which to dial it.
     pub fn advance_after_failure(&mut self, now: MonotonicTime) -> MonotonicTime {
         let count = self.addresses.len().max(1);
         self.failures += 1;
@@ -112,13 +111,14 @@
         let earliest = now + pause;
         let rotation = (1..=count).map(|step| (self.current + step) % count);
         let dial_at = |index: &usize| self.not_before.get(*index).copied().unwrap_or(earliest).max(earliest);
-        // The first in the order of all that are allowed then; the first that will be, if none is.
+        // Chooses the first source in rotation that may be dialled at `earliest`, or else the one that may be dialled
+        // first.
         let next = rotation.min_by_key(dial_at).unwrap_or(0);
         self.current = next;
         dial_at(&next)
     }
 
-    /// The pause, doubled each time; with others to advance_after_failure over to, a random part of it is left out.
+    /// Returns the current backoff and doubles it. With several sources, up to half of the pause is randomly left out.
     fn next_backoff(&mut self) -> Duration {
         let pause = self.backoff.min(self.max_backoff);
         self.backoff = pause * 2;
@@ -135,7 +135,7 @@
     }
 }
 
-/// The addresses in a random order that a seed decides: subscribers with other seeds spread over them.
+/// Shuffles the addresses by a seed, so that subscribers with different seeds spread over the sources.
 pub fn shuffled(mut addresses: Vec<SocketAddr>, seed: u64) -> Vec<SocketAddr> {
     for last in (1..addresses.len()).rev() {
         let chosen = mix(seed ^ mix(last as u64)) % (last as u64 + 1);
--- a/crates/distribution/src/subscriber/stream.rs
+++ b/crates/distribution/src/subscriber/stream.rs
@@ -1,4 +1,4 @@
-//! What comes from the source: which events are applied, what is missing, and how old the state is.
+//! Handling of data from the source: applying events, detecting gaps, and tracking the age of the state.
 use super::link::{Connection, ReferenceEvent};
 use super::messages::{EventMetadata, GapReason, LeaveReason, Output, SourceKind};
 use super::{Subscriber, SILENCE_TIMEOUT};
@@ -7,18 +7,18 @@
 use larchway::MonotonicTime;
 
 impl Subscriber {
-    /// Bytes came in on the connection.
+    /// Handles received bytes.
     pub(super) fn handle_bytes(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         let Some(connection) = self.link.connection_mut() else { return };
         connection.silent_at = now + SILENCE_TIMEOUT;
         self.sources.record_success();
-        // Until the histories are compared, a source may be another one than before.
+        // Until the histories have been compared, this may be a different source than before.
         if self.settings.kind == SourceKind::Plain && connection.overlap.is_none() {
             out.push(Output::SourceAlive(now));
         }
     }
 
-    /// A comment: from a relay a heartbeat, which comes when all events before it have.
+    /// Handles a comment. A relay's comment is a heartbeat, sent after all earlier events.
     pub(super) fn handle_comment(&mut self, now: MonotonicTime, text: &str, out: &mut Vec<Output>) {
         let Some(connection) = self.link.connection_mut() else { return };
         if connection.overlap.is_some() {
@@ -33,14 +33,15 @@
         connection.caught_up = true;
         self.source_alive_unix = Some(source_alive_unix);
         let alive_at = self.anchor.to_monotonic(source_alive_unix);
-        // A clock that is ahead says no more than that the source is alive now; later heartbeats count from there.
+        // If the root relay's clock is ahead, a heartbeat only shows that the source is alive now. Later heartbeats are
+        // corrected by the same lead.
         connection.clock_lead = connection.clock_lead.max(alive_at.saturating_since(now));
         let alive_at = alive_at.saturating_sub(connection.clock_lead);
         self.source_alive_at = Some(self.source_alive_at.map_or(alive_at, |previous| previous.max(alive_at)));
         out.push(Output::SourceAlive(alive_at));
     }
 
-    /// An event in the order of the stream.
+    /// Handles the next event of the stream.
     pub(super) fn handle_event(&mut self, now: MonotonicTime, event: EventMetadata, out: &mut Vec<Output>) {
         let Some(connection) = self.link.connection_mut() else { return };
         let before = *connection;
@@ -48,13 +49,13 @@
         let readable = event.number.filter(|number| *number <= MAX_EVENT_NUMBER);
         let Some(number) = readable else { return self.handle_unreadable(now, out) };
         let may_be_snapshot = self.may_be_snapshot(&before, event, number);
-        // The text of a relay's snapshot is its own, and says nothing about the history.
+        // A relay generates its own snapshot text, so its digest does not identify the history.
         let digest = event.digest.filter(|_| !may_be_snapshot);
         if self.has_different_digest(number, digest) {
             return self.reject_history(now, LeaveReason::OtherHistory, out);
         }
-        // A relay that no longer has what was requested begins with a snapshot. It may stand for the very next number,
-        // and for one at or below the cursor where the last events said nothing of the history.
+        // A relay that no longer has the requested events begins with a snapshot. Its number may be the next one. It
+        // may also be at or below the cursor if the last applied events did not identify the history.
         let is_snapshot = may_be_snapshot && !before.has_events && number > before.after;
         if is_snapshot {
             self.cursor = self.cursor.min(number - 1);
@@ -72,22 +73,23 @@
         self.apply(number, digest, out);
     }
 
-    /// Whether an event may be a relay's snapshot in place of those that it no longer has.
+    /// Whether an event may be a relay's snapshot that replaces events it no longer has.
     fn may_be_snapshot(&self, connection: &Connection, event: EventMetadata, number: EventNumber) -> bool {
         let is_relay = self.settings.kind == SourceKind::Relay;
-        // A snapshot's number shows a jump, so event 1 to one that has nothing yet is the beginning of the history.
+        // A snapshot's number always shows a jump, so event 1 is the beginning of the history for a subscriber without
+        // events.
         let is_beginning = connection.after == 0 && self.cursor == 0 && number == FIRST_EVENT;
         is_relay && event.is_full_list && !is_beginning
     }
 
-    /// Whether the event differs from the one of the same number by which the own history is known.
+    /// Whether the event has the number of the reference event but a different digest.
     fn has_different_digest(&self, number: EventNumber, digest: Option<u64>) -> bool {
         let same_number =
             self.reference_event.filter(|reference| self.settings.verify && reference.number == number);
         same_number.is_some_and(|reference| digest.is_some_and(|digest| digest != reference.digest))
     }
 
-    /// An event that was applied before: it may be the one that a plain source was to repeat.
+    /// Clears the pending overlap if the repeated event is the one that a plain source had to resend.
     fn confirm_overlap(&mut self, number: EventNumber) {
         if let Some(connection) = self.link.connection_mut() {
             connection.overlap = connection.overlap.filter(|overlap| overlap.event.number != number);
@@ -106,8 +108,8 @@
         out.push(Output::Apply(number));
     }
 
-    /// Danger: an event that can't be read may be a purge. If it comes no better the second time, it stays so however
-    /// often it is requested, and the others must not wait for it.
+    /// Handles an event that cannot be read and may be a purge. It is requested a second time. If it is still
+    /// unreadable, it is skipped so that it does not block later events.
     fn handle_unreadable(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         if self.begin_retry() {
             return self.fail_over(now, LeaveReason::EventUnreadable, out);
@@ -116,7 +118,7 @@
         out.push(Output::Skip);
     }
 
-    /// Whether what follows the cursor is to be requested once more: it has not been yet.
+    /// Returns whether the events after the cursor are to be requested a second time, and records that they are.
     fn begin_retry(&mut self) -> bool {
         self.retried_cursor.replace(self.cursor) != Some(self.cursor)
     }
@@ -124,7 +126,7 @@
     /// Reports that events after the cursor may be missing.
     pub(super) fn report_gap(&mut self, reason: GapReason, out: &mut Vec<Output>) {
         self.gaps += 1;
-        // Across a gap the digest of before says nothing of what is applied after it.
+        // A digest from before the gap does not identify the history after it.
         self.reference_event = None;
         out.push(Output::Gap { after: self.cursor, reason });
     }
--- a/crates/distribution/tests/configuration_histories.rs
+++ b/crates/distribution/tests/configuration_histories.rs
@@ -113,8 +113,8 @@
     rest.iter().for_each(|event| gateway.read(&compacted(log, event)));
 }
 
-/// Reads events that a snapshot has covered though its number is before theirs: they change nothing, but for a full list
-/// and what stands before it.
+/// Reads events that a snapshot has covered though its number is before theirs: they change nothing, but for a full
+/// list and what stands before it.
 fn read_covered(gateway: &mut Gateway, events: &[Event]) {
     if events.iter().any(|event| event.subjects.contains(&Subject::DocumentList)) {
         return;
--- a/crates/distribution/tests/relay_return.rs
+++ b/crates/distribution/tests/relay_return.rs
@@ -1,7 +1,7 @@
-//! Purges and documents were answered as done while a gateway had not got them. A leaf relay is killed, and its gateways
-//! turn to the other leaf. One of them applies what it gets there, but is cut off before it has reported its position.
-//! When the killed leaf is back, its first report took the place of the one that it had lost, and the gateway was in
-//! neither: the root counted seven of eight, all up to date.
+//! Purges and documents were answered as done while a gateway had not got them. A leaf relay is killed, and its
+//! gateways turn to the other leaf. One of them applies what it gets there, but is cut off before it has reported its
+//! position. When the killed leaf is back, its first report took the place of the one that it had lost, and the gateway
+//! was in neither: the root counted seven of eight, all up to date.
 //!
 //! ```text
 //! {"done":true,"event":4,"gateways":7,"kept_by":[],"lost":0}
