--- a/crates/distribution/src/configuration/rollout.rs
+++ b/crates/distribution/src/configuration/rollout.rs
@@ -120,13 +120,13 @@
     pub fn resume(
         now: MonotonicTime,
         plan: RolloutPlan,
-        held: DocumentVersion,
+        stored: DocumentVersion,
     ) -> Result<Rollout, PlanError> {
         let mut rollout = Rollout::new(plan)?;
-        if held.version == rollout.plan.version {
-            let stage = (held.stage as usize).min(rollout.plan.stages.len());
+        if stored.version == rollout.plan.version {
+            let stage = (stored.stage as usize).min(rollout.plan.stages.len());
             rollout.state = RolloutState::Applying { stage, since: now, number: None };
-        } else if held == rollout.plan.rollback().version {
+        } else if stored == rollout.plan.rollback().version {
             rollout.state = RolloutState::RollingBack { number: None };
         }
         Ok(rollout)
--- a/crates/distribution/tests/batch.rs
+++ b/crates/distribution/tests/batch.rs
@@ -41,6 +41,6 @@
 }
 
 #[test]
-fn a_piece_is_the_same_wherever_it_stands() {
+fn encoding_a_piece_is_deterministic() {
     assert_eq!(encode(&text(1, 50), Encoding::Gzip), encode(&text(1, 50), Encoding::Gzip));
 }
--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/distribution/tests/common/mod.rs
@@ -115,12 +115,14 @@
         self.header.extend_from_slice(header);
         assert_eq!(self.header, GZIP_HEADER[..self.header.len()]);
         let mut text = Vec::new();
-        let mut read = 0;
-        while read < body.len() {
+        let mut consumed = 0;
+        while consumed < body.len() {
             let before = self.inflate.total_in();
             text.reserve(4096);
-            self.inflate.decompress_vec(&body[read..], &mut text, FlushDecompress::Sync).expect("deflate");
-            read += (self.inflate.total_in() - before) as usize;
+            self.inflate
+                .decompress_vec(&body[consumed..], &mut text, FlushDecompress::Sync)
+                .expect("deflate");
+            consumed += (self.inflate.total_in() - before) as usize;
         }
         loop {
             let before = text.len();
@@ -155,8 +157,8 @@
         if number <= self.cursor {
             return;
         }
-        let jumped = number > self.cursor + 1;
-        if jumped {
+        let is_jump = number > self.cursor + 1;
+        if is_jump {
             self.floor = number;
         }
         self.cursor = number;
@@ -164,7 +166,7 @@
         let value: serde_json::Value = serde_json::from_str(data).expect("JSON");
         assert_eq!(value["no"], number);
         if value.get("recall").is_some() || value.get("roster").is_some() {
-            self.verified = (!jumped).then(|| (number, xxh3_64(data.as_bytes())));
+            self.verified = (!is_jump).then(|| (number, xxh3_64(data.as_bytes())));
         }
         if let Some(recall) = value.get("recall") {
             let subject = recall.get("item").or(recall.get("lot")).expect("a subject").to_string();
@@ -214,7 +216,7 @@
     /// Pulls one chunk; false if there was none.
     pub fn pull(&mut self, relay: &mut Relay, now: MonotonicTime) -> bool {
         let Some(chunk) = relay.next_chunk(now, self.id) else { return false };
-        self.take(&chunk);
+        self.decode(&chunk);
         true
     }
 
@@ -222,7 +224,7 @@
         while self.pull(relay, now) {}
     }
 
-    fn take(&mut self, chunk: &[u8]) {
+    fn decode(&mut self, chunk: &[u8]) {
         self.bytes += chunk.len();
         let text = match &mut self.gzip {
             Some(gzip) => gzip.read(chunk),
@@ -257,7 +259,7 @@
     }
 
     /// Lets time pass, with a tick whenever one is due.
-    pub fn pass(&mut self, time: Duration) -> Vec<Output> {
+    pub fn advance(&mut self, time: Duration) -> Vec<Output> {
         let end = self.now + time;
         let mut out = Vec::new();
         while let Some(due) = self.relay.next_due().filter(|due| *due <= end) {
--- a/crates/distribution/tests/configuration.rs
+++ b/crates/distribution/tests/configuration.rs
@@ -17,7 +17,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const WIDE: LogLimits = LogLimits { events: 10_000, bytes: 1 << 30 };
+const LARGE_LIMITS: LogLimits = LogLimits { events: 10_000, bytes: 1 << 30 };
 
 #[test]
 fn documents_are_written_and_read_with_their_text_unchanged() {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_entry_has_no_more_bytes_than_are_counted() {
+fn an_entry_is_no_larger_than_its_counted_size() {
     let largest = Targets { share: 0.1 + 0.2, zones: vec!["\"".to_string(); 9] };
     let document = document(&"\\".repeat(255), u64::MAX, Some("[1]"));
     let mut list = DocumentsEvent::changes([staged(document.clone(), u32::MAX, largest), document]);
@@ -69,7 +69,7 @@
         let data = entry(&json);
         let error = DocumentsEvent::read(&data).expect_err(&json).to_string();
         assert!(error.starts_with("documents") && error.contains(key), "{error}: {key}");
-        let mut log = EventLog::new(WIDE);
+        let mut log = EventLog::new(LARGE_LIMITS);
         log.append(changes(1, [document("a", 1, Some("1"))])).expect("in order");
         log.append(read(&data)).expect("forwarded all the same");
         assert!(matches!(log.get(1), Some(LogEntry::Current(_))), "{json}");
@@ -84,10 +84,10 @@
 }
 
 #[test]
-fn without_documents_the_bytes_are_those_of_before() {
+fn events_and_reports_without_documents_are_unchanged() {
     let entries = [store_json(1, "up")];
     let event = list(1, true, &entries);
-    let mut log = EventLog::new(WIDE);
+    let mut log = EventLog::new(LARGE_LIMITS);
     log.append(event.clone()).expect("in order");
     assert_eq!(log.snapshot(1, |_| true).as_deref(), Some(&*event.data));
     let report = serde_json::to_string(&PositionReport::of_gateway("g", 5)).expect("JSON");
@@ -102,7 +102,7 @@
 fn the_log_keeps_the_last_version_for_all_and_one_staged() {
     let version_of = |name, number| document(name, number, Some("1"));
     let stage = |number, stage| staged(version_of("a", number), stage, zone("z"));
-    let mut log = EventLog::new(WIDE);
+    let mut log = EventLog::new(LARGE_LIMITS);
     let events: Vec<Event> = vec![
         changes(1, [version_of("a", 1), version_of("b", 1)]),
         changes(2, [stage(2, 0)]),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_table_is_bounded_and_forgets_what_was_withdrawn_first() {
+fn a_table_is_bounded_and_evicts_the_document_withdrawn_first() {
     let mut table = DocumentTable::default();
     let mut apply = |number: usize, document: Document| {
         table.apply(number as EventNumber, DocumentsEvent::changes([document]))
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn what_was_rejected_is_tried_again_with_its_event_and_after_the_file_has_changed() {
+fn rejected_documents_are_retried_with_their_event_and_after_a_file_change() {
     let good = |name, number| document(name, number, Some("1"));
     let bad = |name, number| document(name, number, Some(&format!("\"{BAD}\"")));
     let mut gateway = Gateway::new("g", "z");
@@ -161,8 +161,9 @@
     let versions = |gateway: &Gateway| {
         gateway.in_force().into_iter().map(|(name, (version, _))| (name, version)).collect::<BTreeMap<_, _>>()
     };
-    let expect =
-        |a, b, c| BTreeMap::from([("a", a), ("b", b), ("c", c)].map(|(name, v)| (name.to_string(), v)));
+    let expect = |a, b, c| {
+        BTreeMap::from([("a", a), ("b", b), ("c", c)].map(|(name, version)| (name.to_string(), version)))
+    };
     assert_eq!(
         (versions(&gateway), gateway.rejected().len()),
         (expect(1, 1, 1), 2),
@@ -184,7 +185,7 @@
 /// A relay whose log begins with a snapshot, for a reader of one scope: the documents pass its filter, live and late.
 #[test]
 fn documents_pass_a_snapshot_and_a_scope_unchanged() {
-    let mut log = EventLog::new(WIDE);
+    let mut log = EventLog::new(LARGE_LIMITS);
     let stores = [store_json(0, "up"), store_json(1, "up")];
     let events = [list(1, true, &stores), changes(2, [document("a", 9, Some("{\"k\": 1.0}"))]), purge(3, 1)];
     for event in events {
@@ -204,7 +205,7 @@
     driver.input(Input::UpstreamGap(snapshot.clone()));
     driver.input(Input::Event(purge(4, 1)));
     driver.input(Input::Event(purge(5, 1)));
-    driver.pass(SECOND);
+    driver.advance(SECOND);
     let mut late = subscribe(&mut driver, 2);
     let documents = r#""documents":{"whole":true,"entries":[{"kind":"limit","name":"a","version":9,"stage":0,"content":{"k": 1.0},"event":2}]}"#;
     for reader in [&mut live, &mut late] {
@@ -239,7 +240,7 @@
 }
 
 #[test]
-fn a_share_includes_about_so_many_gateways_and_others_for_another_version() {
+fn a_share_includes_the_expected_number_of_gateways_and_varies_by_version() {
     const GATEWAYS: usize = 12_000;
     let targets = Targets::share(0.05);
     let included = |number: u64| -> Vec<usize> {
--- a/crates/distribution/tests/configuration_histories.rs
+++ b/crates/distribution/tests/configuration_histories.rs
@@ -101,7 +101,7 @@
     log
 }
 
-const WIDE: LogLimits = LogLimits { events: 1000, bytes: 1 << 20 };
+const LARGE_LIMITS: LogLimits = LogLimits { events: 1000, bytes: 1 << 20 };
 
 fn snapshot(log: &EventLog, number: EventNumber) -> Event {
     read(&log.snapshot(number, |_| true).expect("a full list"))
@@ -130,22 +130,22 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_way_to_read_a_history_ends_with_the_same_documents(
+    fn every_way_of_reading_a_history_ends_with_the_same_documents(
         steps in steps(),
         cut in 0..24_usize,
         ahead in 0..4_usize,
     ) {
         let history = history(&steps);
-        let log = log_of(&history, WIDE);
+        let log = log_of(&history, LARGE_LIMITS);
         // A relay below, which begins with a snapshot of another's log that is ahead of the snapshot's number.
         let cut = 1 + cut % history.len();
-        let seen = (cut + ahead).min(history.len());
-        let early = log_of(&history[..seen], WIDE);
-        let ahead_of_number = snapshot(&early, cut as EventNumber);
-        let mut below = EventLog::new(LogLimits { events: 3, ..WIDE });
-        below.restart_at(ahead_of_number.clone());
+        let snapshot_last = (cut + ahead).min(history.len());
+        let early_log = log_of(&history[..snapshot_last], LARGE_LIMITS);
+        let early_snapshot = snapshot(&early_log, cut as EventNumber);
+        let mut downstream_log = EventLog::new(LogLimits { events: 3, ..LARGE_LIMITS });
+        downstream_log.restart_at(early_snapshot.clone());
         history[cut..].iter().for_each(|event| {
-            below.append(event.clone()).expect("in order");
+            downstream_log.append(event.clone()).expect("in order");
         });
         for (name, zone) in GATEWAYS {
             let mut live = Gateway::new(name, zone);
@@ -157,13 +157,13 @@
             read_rest(&mut from_log, &log, &history);
             check(&from_log, &history, name, zone, "compacted log");
             let mut late = Gateway::new(name, zone);
-            late.read(&ahead_of_number);
-            read_covered(&mut late.clone(), &history[cut..seen]);
+            late.read(&early_snapshot);
+            read_covered(&mut late.clone(), &history[cut..snapshot_last]);
             read_rest(&mut late, &log, &history);
             check(&late, &history, name, zone, "snapshot, then the log");
             let mut last = live.clone();
             last.cursor = 0;
-            last.read(&snapshot(&below, below.last() + 7));
+            last.read(&snapshot(&downstream_log, downstream_log.last() + 7));
             check(&last, &history, name, zone, "snapshot of the relay below");
         }
     }
--- a/crates/distribution/tests/configuration_scale.rs
+++ b/crates/distribution/tests/configuration_scale.rs
@@ -14,7 +14,7 @@
 
 const SIZES: [u64; 3] = [300, 1200, 4800];
 /// Events before the change that is measured, so that its number is as long for each size.
-const EVENTS: EventNumber = 10_000;
+const CHANGE_NUMBER: EventNumber = 10_000;
 
 /// A class of some 300 bytes.
 fn content(number: u64) -> String {
@@ -32,13 +32,13 @@
     let document_event = |number: u64| changes(number, [document(&name(number), 1, Some(&content(100)))]);
     let first = list(1, true, &[store_json(1, "up")]);
     let documents = (2..=documents + 1).map(document_event);
-    let purges = (documents.clone().count() as u64 + 2..EVENTS).map(|number| purge(number, number));
-    let change = changes(EVENTS, [document(&name(7), 2, Some(&content(101)))]);
+    let purges = (documents.clone().count() as u64 + 2..CHANGE_NUMBER).map(|number| purge(number, number));
+    let change = changes(CHANGE_NUMBER, [document(&name(7), 2, Some(&content(101)))]);
     std::iter::once(first).chain(documents).chain(purges).chain([change]).collect()
 }
 
 #[test]
-fn a_change_touches_as_many_entries_however_many_documents_are_held() {
+fn the_cost_of_a_change_does_not_grow_with_the_documents() {
     for size in SIZES {
         let mut log = EventLog::new(LogLimits { events: usize::MAX, bytes: usize::MAX });
         let mut gateway = Gateway::new("g", "z");
@@ -52,7 +52,7 @@
         let appended = log.append(change.clone()).expect("in order");
         assert_eq!(appended, Appended::Stored { replaced: 1, evicted: 0 }, "{size} documents");
         let documents = common::documents::read_documents(change).expect("documents");
-        let candidate = gateway.documents.handle(EVENTS, documents).expect("a change");
+        let candidate = gateway.documents.handle(CHANGE_NUMBER, documents).expect("a change");
         assert_eq!(candidate.changes().len(), 1, "{size} documents");
     }
 }
@@ -66,20 +66,20 @@
         driver.input(Input::Event(event.clone()));
     }
     driver.heartbeat();
-    driver.pass(SECOND);
-    driver.subscribe(1, SubscribeRequest { encoding, ..request(EVENTS - 1) });
+    driver.advance(SECOND);
+    driver.subscribe(1, SubscribeRequest { encoding, ..request(CHANGE_NUMBER - 1) });
     let mut reader = Reader::new(1, encoding);
     reader.pull_all(&mut driver.relay, driver.now);
     let bytes_before = reader.bytes;
     driver.input(Input::Event(change.clone()));
-    driver.pass(SECOND);
+    driver.advance(SECOND);
     reader.pull_all(&mut driver.relay, driver.now);
-    assert_eq!(reader.view.cursor, EVENTS);
+    assert_eq!(reader.view.cursor, CHANGE_NUMBER);
     reader.bytes - bytes_before
 }
 
 #[test]
-fn a_change_sends_a_gateway_the_same_bytes_however_many_documents_are_held() {
+fn the_bytes_of_a_change_do_not_grow_with_the_documents() {
     for encoding in [Encoding::Identity, Encoding::Gzip] {
         let bytes = SIZES.map(|size| bytes_of_a_change(size, encoding));
         println!("{encoding:?}: {bytes:?} bytes, content of {}", content(101).len());
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_report_is_as_long_however_many_gateways_reject_a_version() {
+fn the_size_of_a_report_does_not_grow_with_the_rejecting_gateways() {
     let limits = PositionLimits { lost_retention: Duration::from_secs(1), max_lost: 10, max_advances: 10 };
     let report = |gateways: u64| {
         let mut positions = Positions::new(limits);
--- a/crates/distribution/tests/event.rs
+++ b/crates/distribution/tests/event.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn refuses_what_cannot_be_read() {
+fn rejects_malformed_events() {
     let malformed = [
         "",
         "[]",
--- a/crates/distribution/tests/failover_model.rs
+++ b/crates/distribution/tests/failover_model.rs
@@ -17,7 +17,7 @@
 
 /// A fault planted to see that the model finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Planted {
+enum PlantedFault {
     Nothing,
     /// A relay passes heartbeats though it has not read all events.
     HeartbeatWhileBehind,
@@ -35,7 +35,7 @@
 type History = u8;
 
 struct World {
-    planted: Planted,
+    planted_fault: PlantedFault,
     /// Events of a history at most.
     events: EventNumber,
     /// Kills, cuts and gaps at most.
@@ -64,7 +64,7 @@
 struct Subscriber {
     cursor: EventNumber,
     /// The last event that came with its text, and its digest.
-    known: Option<(EventNumber, u64)>,
+    reference_event: Option<(EventNumber, u64)>,
     history: Option<History>,
     /// By object: the last purge applied in this history.
     purged: BTreeMap<String, EventNumber>,
@@ -72,7 +72,7 @@
     floor: EventNumber,
     connected: Option<usize>,
     /// By relay: whether it sent another history since this subscriber was last accepted.
-    refused: [bool; RELAYS],
+    rejected: [bool; RELAYS],
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
@@ -137,8 +137,8 @@
 }
 
 impl World {
-    fn new(planted: Planted, events: EventNumber, faults: u8) -> World {
-        World { planted, events, faults, histories: [history(0, events), history(1, events)] }
+    fn new(planted_fault: PlantedFault, events: EventNumber, faults: u8) -> World {
+        World { planted_fault, events, faults, histories: [history(0, events), history(1, events)] }
     }
 
     /// The program's relay, with all that this one has read.
@@ -155,23 +155,23 @@
         if let Some(number) = state.snapshot {
             let store = store_json(u64::from(state.history), "up");
             driver.input(Input::UpstreamGap(list(number, true, &[store])));
-            driver.pass(MICROSECOND);
+            driver.advance(MICROSECOND);
             next = number + 1;
         }
         for number in next..=state.last {
             driver.input(Input::Event(self.event(state.history, number)));
-            driver.pass(MICROSECOND);
+            driver.advance(MICROSECOND);
         }
         if state.ready {
             driver.heartbeat();
-            driver.pass(MICROSECOND);
+            driver.advance(MICROSECOND);
         }
         driver
     }
 
     /// An event as relays read it.
     fn event(&self, history: History, number: EventNumber) -> Event {
-        let lost = self.planted == Planted::PurgeLostByCompaction && number == self.events;
+        let lost = self.planted_fault == PlantedFault::PurgeLostByCompaction && number == self.events;
         if lost {
             return read(&placeholder(number));
         }
@@ -181,7 +181,7 @@
     fn may_heartbeat(&self, state: &State, relay: usize) -> bool {
         let read = &state.relays[relay];
         let caught_up = read.history == state.source.history && read.last == state.source.last;
-        caught_up || (self.planted == Planted::HeartbeatWhileBehind && read.last > 0)
+        caught_up || (self.planted_fault == PlantedFault::HeartbeatWhileBehind && read.last > 0)
     }
 
     fn read(&self, state: &mut State, relay: usize) {
@@ -217,13 +217,14 @@
 
     fn connect(&self, state: &mut State, relay: usize, chunks: Chunks) {
         let subscriber = &mut state.subscriber;
-        let retains_cursor = matches!(self.planted, Planted::NoDigest | Planted::CursorWithoutDigest);
-        if subscriber.known.is_none() && subscriber.cursor > 0 && !retains_cursor {
+        let retains_cursor =
+            matches!(self.planted_fault, PlantedFault::NoDigest | PlantedFault::CursorWithoutDigest);
+        if subscriber.reference_event.is_none() && subscriber.cursor > 0 && !retains_cursor {
             // It is unknown which history it was in: it begins anew, and all its copies are void.
-            *subscriber = Subscriber { refused: subscriber.refused, ..Subscriber::default() };
+            *subscriber = Subscriber { rejected: subscriber.rejected, ..Subscriber::default() };
         }
-        let (cursor, digest) = match subscriber.known {
-            Some((number, digest)) if self.planted != Planted::NoDigest => (number, Some(digest)),
+        let (cursor, digest) = match subscriber.reference_event {
+            Some((number, digest)) if self.planted_fault != PlantedFault::NoDigest => (number, Some(digest)),
             _ => (subscriber.cursor, None),
         };
         subscriber.cursor = cursor;
@@ -238,18 +239,18 @@
         match driver.subscribe(SUBSCRIBER, request)[..] {
             [Output::Accept(_)] => {
                 state.subscriber.connected = Some(relay);
-                state.subscriber.refused = [false; RELAYS];
+                state.subscriber.rejected = [false; RELAYS];
                 self.pull(state, &mut driver, chunks);
             }
-            [Output::Reject { reason: RejectReason::OtherHistory, .. }] => self.refused(state, relay),
+            [Output::Reject { reason: RejectReason::OtherHistory, .. }] => self.rejected(state, relay),
             _ => {}
         }
     }
 
     /// If all relays have another history, the subscriber takes it over, and all its copies are void.
-    fn refused(&self, state: &mut State, relay: usize) {
-        state.subscriber.refused[relay] = true;
-        if state.subscriber.refused == [true; RELAYS] {
+    fn rejected(&self, state: &mut State, relay: usize) {
+        state.subscriber.rejected[relay] = true;
+        if state.subscriber.rejected == [true; RELAYS] {
             state.subscriber = Subscriber::default();
             state.seen.reset = true;
         }
@@ -289,24 +290,25 @@
         if number <= subscriber.cursor {
             return;
         }
-        let jumped = number > subscriber.cursor + 1;
+        let is_jump = number > subscriber.cursor + 1;
         let history = history_of(data);
-        if jumped {
+        if is_jump {
             state.seen.floor = true;
-            subscriber.known = None;
-            if self.planted != Planted::SnapshotWithoutFloor {
+            subscriber.reference_event = None;
+            if self.planted_fault != PlantedFault::SnapshotWithoutFloor {
                 subscriber.floor = number;
                 subscriber.purged.clear();
                 subscriber.history = history;
             }
         }
-        let mixes = history.is_some() && subscriber.history.is_some() && history != subscriber.history;
-        state.seen.mixed_histories |= mixes;
+        let mixes_histories =
+            history.is_some() && subscriber.history.is_some() && history != subscriber.history;
+        state.seen.mixed_histories |= mixes_histories;
         state.seen.out_of_order |= subscriber.purged.values().any(|applied| *applied >= number);
         subscriber.history = subscriber.history.or(history);
         subscriber.cursor = number;
-        if history.is_some() && !jumped {
-            subscriber.known = Some((number, xxh3_64(data.as_bytes())));
+        if history.is_some() && !is_jump {
+            subscriber.reference_event = Some((number, xxh3_64(data.as_bytes())));
         }
         if data.contains("recall") {
             subscriber.purged.insert(object(data), number);
@@ -426,14 +428,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("E1, E3: no purge is missed before a heartbeat", |_, s: &State| {
-                !s.seen.missed_purge
+            Property::always("E1, E3: no purge is missed before a heartbeat", |_, state: &State| {
+                !state.seen.missed_purge
             }),
-            Property::always("E2: histories do not mix", |_, s: &State| !s.seen.mixed_histories),
-            Property::always("E2: events apply in order, once", |_, s: &State| !s.seen.out_of_order),
-            Property::sometimes("a heartbeat arrives", |_, s: &State| s.seen.heartbeat),
-            Property::sometimes("a floor arrives", |_, s: &State| s.seen.floor),
-            Property::sometimes("a new history is taken over", |_, s: &State| s.seen.reset),
+            Property::always("E2: histories do not mix", |_, state: &State| !state.seen.mixed_histories),
+            Property::always("E2: events apply in order, once", |_, state: &State| !state.seen.out_of_order),
+            Property::sometimes("a heartbeat arrives", |_, state: &State| state.seen.heartbeat),
+            Property::sometimes("a floor arrives", |_, state: &State| state.seen.floor),
+            Property::sometimes("a new history is taken over", |_, state: &State| state.seen.reset),
         ]
     }
 }
@@ -443,7 +445,7 @@
 
 #[test]
 fn the_invariants_hold_in_every_order() {
-    let checker = World::new(Planted::Nothing, 5, 3).checker().threads(3).spawn_bfs().join();
+    let checker = World::new(PlantedFault::Nothing, 5, 3).checker().threads(3).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
@@ -451,15 +453,16 @@
 #[test]
 fn each_planted_fault_is_found() {
     let cases = [
-        (Planted::HeartbeatWhileBehind, MISSED_PURGE),
-        (Planted::NoDigest, MIXED_HISTORIES),
-        (Planted::CursorWithoutDigest, MIXED_HISTORIES),
-        (Planted::PurgeLostByCompaction, MISSED_PURGE),
-        (Planted::SnapshotWithoutFloor, MISSED_PURGE),
+        (PlantedFault::HeartbeatWhileBehind, MISSED_PURGE),
+        (PlantedFault::NoDigest, MIXED_HISTORIES),
+        (PlantedFault::CursorWithoutDigest, MIXED_HISTORIES),
+        (PlantedFault::PurgeLostByCompaction, MISSED_PURGE),
+        (PlantedFault::SnapshotWithoutFloor, MISSED_PURGE),
     ];
-    for (planted, property) in cases {
+    for (planted_fault, property) in cases {
         let found = HasDiscoveries::AllOf(BTreeSet::from([property]));
-        let checker = World::new(planted, 5, 3).checker().threads(3).finish_when(found).spawn_bfs().join();
-        assert!(checker.discovery(property).is_some(), "{planted:?} is not found");
+        let checker =
+            World::new(planted_fault, 5, 3).checker().threads(3).finish_when(found).spawn_bfs().join();
+        assert!(checker.discovery(property).is_some(), "{planted_fault:?} is not found");
     }
 }
--- a/crates/distribution/tests/log.rs
+++ b/crates/distribution/tests/log.rs
@@ -6,10 +6,10 @@
 use larchway_distribution::{Event, EventNumber};
 use proptest::prelude::*;
 
-const WIDE: LogLimits = LogLimits { events: 10_000, bytes: 1 << 24 };
+const LARGE_LIMITS: LogLimits = LogLimits { events: 10_000, bytes: 1 << 24 };
 
 fn log_of(events: impl IntoIterator<Item = Event>) -> EventLog {
-    let mut log = EventLog::new(WIDE);
+    let mut log = EventLog::new(LARGE_LIMITS);
     for event in events {
         log.append(event).expect("in order");
     }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn later_events_replace_earlier_ones_about_the_same() {
+fn later_events_replace_earlier_ones_about_the_same_subject() {
     let entry = |store, health| store_json(store, health);
     let log = log_of([
         list(1, true, &[entry(1, "up"), entry(2, "up")]),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_placeholder_from_upstream_verifies_nothing() {
+fn a_placeholder_from_upstream_does_not_verify_the_history() {
     let mut log = log_of([purge(1, 7), read(&placeholder(2)), purge(3, 7)]);
     assert_eq!(log.check_history(2, 5), HistoryCheck::Unknown);
     // The same event with its text, or the other way round, is no other history.
--- a/crates/distribution/tests/positions.rs
+++ b/crates/distribution/tests/positions.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_event_is_done_when_the_last_gateway_has_it() {
+fn an_event_is_applied_everywhere_when_the_last_gateway_has_applied_it() {
     let mut positions = Positions::new(LIMITS);
     assert_eq!(positions.applied_everywhere_at(1), None);
     report(&mut positions, 1, 1, 8);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_lost_gateway_holds_its_position_until_it_is_back_or_forgotten() {
+fn a_lost_gateway_is_counted_until_it_returns_or_expires() {
     let mut positions = Positions::new(LIMITS);
     report(&mut positions, 1, 1, 9);
     report(&mut positions, 1, 2, 5);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_report_out_of_bounds_is_truncated_to_them() {
+fn a_report_beyond_the_limits_is_truncated() {
     let mut positions = Positions::new(LIMITS);
     let name = "ä".repeat(1000);
     let straggler = Straggler { name: name.clone(), applied: 1 };
@@ -96,43 +96,43 @@
 #[derive(Debug, Clone)]
 enum Step {
     Report(u64, EventNumber),
-    Gone(u64),
+    Disconnect(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..12_u64, 1..40_u64).prop_map(|(id, applied)| Step::Report(id, applied)),
-        1 => (0..12_u64).prop_map(Step::Gone),
+        1 => (0..12_u64).prop_map(Step::Disconnect),
     ]
 }
 
 proptest! {
     #[test]
-    fn the_aggregate_is_that_of_all_reports(steps in prop::collection::vec(step(), 1..80)) {
+    fn the_aggregate_equals_that_of_all_reports(steps in prop::collection::vec(step(), 1..80)) {
         let mut positions = Positions::new(LIMITS);
         // By name: the position, and when it was lost.
-        let mut naive: BTreeMap<String, (EventNumber, Option<MonotonicTime>)> = BTreeMap::new();
+        let mut expected_positions: BTreeMap<String, (EventNumber, Option<MonotonicTime>)> = BTreeMap::new();
         for (now, step) in (1..).zip(steps) {
             match step {
                 Step::Report(id, applied) => {
                     report(&mut positions, now, id, applied);
-                    naive.insert(format!("g{id}"), (applied, None));
+                    expected_positions.insert(format!("g{id}"), (applied, None));
                 }
-                Step::Gone(id) => {
+                Step::Disconnect(id) => {
                     positions.disconnected(at(now), id);
-                    if let Some((_, lost @ None)) = naive.get_mut(&format!("g{id}")) {
+                    if let Some((_, lost @ None)) = expected_positions.get_mut(&format!("g{id}")) {
                         *lost = Some(at(now));
                     }
                 }
             }
             positions.expire(at(now));
-            naive.retain(|_, (_, lost)| lost.is_none_or(|lost| lost + LIMITS.lost_retention > at(now)));
+            expected_positions.retain(|_, (_, lost)| lost.is_none_or(|lost| lost + LIMITS.lost_retention > at(now)));
             let report = positions.aggregate();
             let straggler = |(name, (applied, _)): (&String, &(EventNumber, _))| (*applied, name.clone());
-            let mut all: Vec<_> = naive.iter().map(straggler).collect();
+            let mut all: Vec<_> = expected_positions.iter().map(straggler).collect();
             all.sort();
             prop_assert_eq!(report.gateways, all.len() as u64);
-            prop_assert_eq!(report.lost, naive.values().filter(|(_, lost)| lost.is_some()).count() as u64);
+            prop_assert_eq!(report.lost, expected_positions.values().filter(|(_, lost)| lost.is_some()).count() as u64);
             prop_assert_eq!(report.applied, all.first().map_or(0, |(applied, _)| *applied));
             let furthest: Vec<_> = report.furthest.iter().map(|Straggler { applied, .. }| *applied).collect();
             let expected: Vec<_> = all.iter().take(MAX_STRAGGLERS).map(|(applied, _)| *applied).collect();
--- a/crates/distribution/tests/rejections.rs
+++ b/crates/distribution/tests/rejections.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_version_is_applied_by_all_when_all_are_past_it_and_none_rejects_it() {
+fn a_version_is_applied_by_all_when_all_have_reached_it_and_none_rejects_it() {
     let mut positions = Positions::new(LIMITS);
     let (first, second) = (version(1, 0), version(2, 0));
     let applied =
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_report_names_few_gateways_and_says_when_it_leaves_versions_out() {
+fn a_report_names_few_gateways_and_states_whether_versions_are_omitted() {
     let mut positions = Positions::new(LIMITS);
     for gateway in 0..20 {
         let name = format!("g{gateway:02}");
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_report_past_the_bounds_is_cut() {
+fn a_report_beyond_the_limits_is_truncated() {
     let huge = RejectedVersion {
         reason: "é".repeat(MAX_REASON_BYTES),
         gateways: u64::MAX,
--- a/crates/distribution/tests/relay_histories.rs
+++ b/crates/distribution/tests/relay_histories.rs
@@ -24,27 +24,27 @@
 
 /// Where a store is listed.
 #[derive(Debug, Clone, Copy)]
-struct Placed {
+struct PlacedStore {
     store: u64,
     site: Option<&'static str>,
     class: &'static str,
 }
 
-impl Placed {
+impl PlacedStore {
     fn json(self, health: &str) -> String {
         placed_store_json(self.store, self.site, self.class, health)
     }
 }
 
-fn placed() -> impl Strategy<Value = Placed> {
+fn placed_store() -> impl Strategy<Value = PlacedStore> {
     let site = prop_oneof![4 => Just(Some(SITE)), 4 => Just(Some("west")), 1 => Just(None)];
     let class = prop_oneof![4 => Just("std"), 1 => Just(SOURCE_CLASS)];
-    (0..6_u64, site, class).prop_map(|(store, site, class)| Placed { store, site, class })
+    (0..6_u64, site, class).prop_map(|(store, site, class)| PlacedStore { store, site, class })
 }
 
 /// What is planted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fault {
+enum PlantedFault {
     None,
     /// The scope forgets the sources of its site's stores.
     SourcesForgotten,
@@ -58,8 +58,8 @@
 enum Step {
     Purge(u64),
     Group(u64),
-    Store(Placed, &'static str),
-    FullList(Vec<Placed>),
+    Store(PlacedStore, &'static str),
+    FullList(Vec<PlacedStore>),
     /// The relay reads so many events; from a log that is compacted or not.
     Feed {
         relay: usize,
@@ -100,9 +100,9 @@
     prop_oneof![
         8 => (0..6_u64).prop_map(Step::Purge),
         2 => (0..2_u64).prop_map(Step::Group),
-        3 => (placed(), prop_oneof![4 => Just("up"), 1 => Just("removed")])
-            .prop_map(|(placed, health)| Step::Store(placed, health)),
-        1 => prop::collection::vec(placed(), 0..5).prop_map(Step::FullList),
+        3 => (placed_store(), prop_oneof![4 => Just("up"), 1 => Just("removed")])
+            .prop_map(|(placed_store, health)| Step::Store(placed_store, health)),
+        1 => prop::collection::vec(placed_store(), 0..5).prop_map(Step::FullList),
         6 => (relay.clone(), 1..12_u64, any::<bool>())
             .prop_map(|(relay, events, compacted)| Step::Feed { relay, events, compacted }),
         1 => relay.clone().prop_map(|relay| Step::Gap { relay }),
@@ -115,9 +115,9 @@
     ]
 }
 
-fn settings(events: usize, max_batches: usize, fault: Fault) -> RelaySettings {
+fn settings(events: usize, max_batches: usize, fault: PlantedFault) -> RelaySettings {
     let sources = SourceScope { classes: vec![SOURCE_CLASS.to_string()], sites: Vec::new() };
-    let sources = (fault != Fault::SourcesForgotten).then_some(sources);
+    let sources = (fault != PlantedFault::SourcesForgotten).then_some(sources);
     let scope = Scope { sites: vec![SITE.to_string()], sources, ..Scope::default() };
     RelaySettings {
         log: LogLimits { events, bytes: 1 << 20 },
@@ -142,7 +142,7 @@
 
 struct World {
     settings: RelaySettings,
-    fault: Fault,
+    fault: PlantedFault,
     history: Vec<Event>,
     /// The source's own log: compacted, never evicted.
     source: EventLog,
@@ -152,12 +152,12 @@
 }
 
 impl World {
-    fn new(settings: RelaySettings, fault: Fault) -> World {
+    fn new(settings: RelaySettings, fault: PlantedFault) -> World {
         let client = |index: usize| {
             let encoding = if index.is_multiple_of(2) { Encoding::Identity } else { Encoding::Gzip };
             let scope = (index >= 2).then(|| SCOPE.to_string());
             let mut reader = Reader::new(0, encoding);
-            reader.view.keeps_moved_stores = fault == Fault::MovedStoreStays;
+            reader.view.keeps_moved_stores = fault == PlantedFault::MovedStoreStays;
             Client { reader, scope, encoding, relay: None, accepted: false }
         };
         World {
@@ -176,7 +176,7 @@
         self.history.push(event);
     }
 
-    fn next(&self) -> EventNumber {
+    fn next_number(&self) -> EventNumber {
         self.history.len() as EventNumber + 1
     }
 
@@ -192,10 +192,10 @@
 
     fn input(&mut self, relay: usize, input: Input) {
         let out = self.relays[relay].input(input);
-        self.note(relay, out);
+        self.handle_outputs(relay, out);
     }
 
-    fn note(&mut self, relay: usize, out: Vec<Output>) {
+    fn handle_outputs(&mut self, relay: usize, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Accept(id) => self.client(relay, id).accepted = true,
@@ -218,13 +218,13 @@
 
     fn feed(&mut self, relay: usize, events: u64, compacted: bool) {
         let event = |number| self.event(number, compacted);
-        let inputs = next_inputs(&self.relays[relay], events, self.next() - 1, event);
+        let inputs = next_inputs(&self.relays[relay], events, self.next_number() - 1, event);
         inputs.into_iter().for_each(|input| self.input(relay, input));
     }
 
     /// The source's snapshot under the number before its last, then the last event.
     fn feed_snapshot(&mut self, relay: usize) {
-        let last = self.next() - 1;
+        let last = self.next_number() - 1;
         let next = self.relays[relay].relay.log().last() + 1;
         if last <= next || !self.source.stores().is_complete() {
             return;
@@ -281,22 +281,22 @@
                 break;
             }
             let has_jumped = client.reader.view.floor != floor;
-            if self.fault == Fault::SnapshotIgnoresScope && has_jumped {
-                client.reader.view.stores = whole_list(&driver.relay);
+            if self.fault == PlantedFault::SnapshotIgnoresScope && has_jumped {
+                client.reader.view.stores = full_list(&driver.relay);
             }
         }
         self.input(relay, Input::Tick);
     }
 
-    fn pass(&mut self, milliseconds: u64) {
+    fn advance(&mut self, milliseconds: u64) {
         for relay in 0..RELAYS {
-            let out = self.relays[relay].pass(Duration::from_millis(milliseconds));
-            self.note(relay, out);
+            let out = self.relays[relay].advance(Duration::from_millis(milliseconds));
+            self.handle_outputs(relay, out);
         }
     }
 
     fn run(&mut self, step: &Step) {
-        let number = self.next();
+        let number = self.next_number();
         match step {
             Step::Purge(object) => self.append(purge(number, *object)),
             Step::Group(group) => self.append(group_purge(number, *group)),
@@ -312,19 +312,19 @@
             Step::Connect { subscriber, relay } => self.connect(*subscriber, *relay),
             Step::Disconnect { subscriber } => self.disconnect(*subscriber),
             Step::Pull { subscriber, chunks } => self.pull(*subscriber, *chunks),
-            Step::Pass { milliseconds } => self.pass(*milliseconds),
+            Step::Pass { milliseconds } => self.advance(*milliseconds),
         }
     }
 
     /// Faults end: both relays read everything, two more events come, every subscriber reads to the end.
     fn settle(&mut self) {
         for _ in 0..3 {
-            let number = self.next();
+            let number = self.next_number();
             self.append(purge(number, 99));
             for relay in 0..RELAYS {
                 self.feed(relay, u64::MAX >> 1, false);
             }
-            self.pass(200);
+            self.advance(200);
             for index in 0..SUBSCRIBERS {
                 self.settle_client(index);
             }
@@ -337,13 +337,13 @@
                 self.connect(index, attempt % RELAYS);
             }
             self.pull(index, usize::MAX);
-            self.pass(200);
+            self.advance(200);
         }
     }
 }
 
 /// The list that a relay has merged, without any filter.
-fn whole_list(relay: &Relay) -> BTreeMap<String, String> {
+fn full_list(relay: &Relay) -> BTreeMap<String, String> {
     let mut view = View::default();
     let data = relay.log().snapshot(1, |_| true);
     data.into_iter().for_each(|data| view.apply(1, &data));
@@ -362,14 +362,14 @@
 }
 
 /// A history: its steps, the events of a relay's log, and the batches of its ring.
-type Drawn = (Vec<Step>, usize, usize);
+type RandomHistory = (Vec<Step>, usize, usize);
 
-fn history() -> impl Strategy<Value = Drawn> {
+fn history() -> impl Strategy<Value = RandomHistory> {
     (prop::collection::vec(step(), 1..120), 3..60_usize, 1..8_usize)
 }
 
 /// Plays a history to its end: every subscriber has the naive state, or a floor.
-fn play((steps, events, ring): Drawn, fault: Fault) -> Result<(), TestCaseError> {
+fn run_history((steps, events, ring): RandomHistory, fault: PlantedFault) -> Result<(), TestCaseError> {
     let mut world = World::new(settings(events, ring, fault), fault);
     let first = [SITE, "west", SITE, "west"].into_iter().zip(0..);
     let first = first.map(|(site, store)| placed_store_json(store, Some(site), "std", "up"));
@@ -378,15 +378,15 @@
         world.run(step);
     }
     world.settle();
-    let mut naive = View::default();
+    let mut expected = View::default();
     for event in &world.history {
-        naive.apply(event.number, &event.data);
+        expected.apply(event.number, &event.data);
     }
     for client in &world.clients {
         let view = &client.reader.view;
-        prop_assert_eq!(view.cursor, naive.cursor, "caught up");
-        prop_assert_eq!(&view.stores, &in_scope(&naive.stores, client.scope.as_ref()));
-        for (subject, number) in &naive.purged {
+        prop_assert_eq!(view.cursor, expected.cursor, "caught up");
+        prop_assert_eq!(&view.stores, &in_scope(&expected.stores, client.scope.as_ref()));
+        for (subject, number) in &expected.purged {
             let applied = view.purged.get(subject) == Some(number);
             prop_assert!(applied || view.floor >= *number, "purge {number} of {subject}: {view:?}");
         }
@@ -398,15 +398,17 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_subscriber_ends_with_the_naive_state_or_a_floor(history in history()) {
-        play(history, Fault::None)?;
+    fn every_subscriber_ends_with_the_expected_state_or_a_floor(history in history()) {
+        run_history(history, PlantedFault::None)?;
     }
 }
 
 /// Each fault shows within as many histories as the property is tested with.
 #[test]
 fn planted_faults_of_a_scope_are_found() {
-    for fault in [Fault::SourcesForgotten, Fault::MovedStoreStays, Fault::SnapshotIgnoresScope] {
+    for fault in
+        [PlantedFault::SourcesForgotten, PlantedFault::MovedStoreStays, PlantedFault::SnapshotIgnoresScope]
+    {
         let config = ProptestConfig {
             cases: 400,
             max_shrink_iters: 0,
@@ -414,7 +416,7 @@
             ..ProptestConfig::default()
         };
         let mut runner = TestRunner::new(config);
-        let found = runner.run(&history(), |history| play(history, fault));
+        let found = runner.run(&history(), |history| run_history(history, fault));
         assert!(found.is_err(), "{fault:?} is not found");
     }
 }
--- a/crates/distribution/tests/relay_return.rs
+++ b/crates/distribution/tests/relay_return.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_gateway_that_never_reports_again_is_forgotten_after_the_retention() {
+fn a_gateway_that_never_reports_again_expires_after_the_retention_time() {
     let mut root = root_that_has_lost_a_leaf();
     root.report(at(3), 2, Some("leaf-1"), report_of(&[("g1", 3), ("g2", 3), ("g3", 3)]));
     root.report(at(4), 3, Some("leaf-0"), report_of(&[]));
--- a/crates/distribution/tests/relay_start.rs
+++ b/crates/distribution/tests/relay_start.rs
@@ -16,7 +16,7 @@
 const RELAYS: usize = 3;
 const LAST_EVENT: EventNumber = 20;
 /// Within which time all subscribers are started.
-const STARTS: Duration = SECOND;
+const START_PERIOD: Duration = SECOND;
 /// Time that passes in a step.
 const STEP: Duration = Duration::from_millis(5);
 /// Within which time a change of the list is to be in force.
@@ -52,7 +52,7 @@
     now: MonotonicTime,
     relays: Vec<Driver>,
     /// When the next heartbeat of its upstream reaches a relay.
-    heartbeat_due: [Option<MonotonicTime>; RELAYS],
+    next_heartbeat_at: [Option<MonotonicTime>; RELAYS],
     followers: Vec<Follower>,
     /// By connection, the index of the follower.
     followers_by_id: BTreeMap<u64, usize>,
@@ -74,7 +74,7 @@
         scope: None,
         max_backoff: MAX_BACKOFF,
     };
-    let started_at = START + Duration::from_micros(mix(seed) % STARTS.as_micros() as u64);
+    let started_at = START + Duration::from_micros(mix(seed) % START_PERIOD.as_micros() as u64);
     Follower {
         subscriber: Subscriber::new(started_at, settings, 0, seed),
         connection: None,
@@ -92,21 +92,21 @@
             driver.input(Input::UpstreamConnected);
             driver
         };
-        let heartbeat_due = upstreams.map(|upstream| match upstream {
+        let next_heartbeat_at = upstreams.map(|upstream| match upstream {
             Upstream::ReadyAfter(delay) => Some(START + delay),
             Upstream::Dead => None,
         });
         World {
             now: START,
             relays: (0..RELAYS as u64).map(relay).collect(),
-            heartbeat_due,
+            next_heartbeat_at,
             followers: (1..=followers as u64).map(follower).collect(),
             followers_by_id: BTreeMap::new(),
             next_id: 1,
         }
     }
 
-    fn play(&mut self, time: Duration) {
+    fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
@@ -116,10 +116,10 @@
     }
 
     fn step_relay(&mut self, relay: usize) {
-        let passed = self.relays[relay].pass(STEP);
+        let passed = self.relays[relay].advance(STEP);
         self.carry_out(relay, passed);
-        let Some(due) = self.heartbeat_due[relay].filter(|due| *due <= self.now) else { return };
-        self.heartbeat_due[relay] = Some(due + SECOND);
+        let Some(due) = self.next_heartbeat_at[relay].filter(|due| *due <= self.now) else { return };
+        self.next_heartbeat_at[relay] = Some(due + SECOND);
         if self.relays[relay].relay.log().last() == 0 {
             self.relays[relay].input(Input::Event(list(1, true, &[store_json(1, "up")])));
             for number in 2..=LAST_EVENT {
@@ -157,11 +157,11 @@
             self.followers[index].text.push_str(std::str::from_utf8(&chunk).expect("text"));
             self.feed(index, subscriber::Input::BytesReceived);
             let received = parse(&mut self.followers[index].text);
-            received.into_iter().for_each(|item| self.take(index, item));
+            received.into_iter().for_each(|item| self.handle_item(index, item));
         }
     }
 
-    fn take(&mut self, index: usize, item: StreamItem) {
+    fn handle_item(&mut self, index: usize, item: StreamItem) {
         match item {
             StreamItem::Heartbeat { source_alive_ms } => {
                 let comment = format!(" heard {source_alive_ms}");
@@ -181,14 +181,14 @@
         for output in out {
             match output {
                 subscriber::Output::Dial(subscription) => self.dial(index, subscription),
-                subscriber::Output::Close(_) => self.hang_up(index),
+                subscriber::Output::Close(_) => self.close_connection(index),
                 _ => {}
             }
         }
     }
 
     fn dial(&mut self, index: usize, subscription: Subscription) {
-        self.hang_up(index);
+        self.close_connection(index);
         let relay = usize::from(subscription.source.port() - address(0).port());
         let id = self.next_id;
         self.next_id += 1;
@@ -208,7 +208,7 @@
         self.carry_out(relay, out);
     }
 
-    fn hang_up(&mut self, index: usize) {
+    fn close_connection(&mut self, index: usize) {
         let Some(Connection { relay, id }) = self.followers[index].connection.take() else { return };
         self.followers[index].text.clear();
         self.followers_by_id.remove(&id);
@@ -237,7 +237,7 @@
     let delays = [600, 1200, 1900].map(Duration::from_millis);
     for followers in sizes(75) {
         let mut world = World::new(followers, delays.map(Upstream::ReadyAfter));
-        world.play(8 * SECOND);
+        world.run(8 * SECOND);
         assert_eq!(world.dials(), followers);
         world.assert_all_caught_up();
     }
@@ -248,7 +248,7 @@
     let ready = Upstream::ReadyAfter(600 * MILLISECOND);
     for followers in sizes(75) {
         let mut world = World::new(followers, [ready, Upstream::Dead, ready]);
-        world.play(8 * SECOND);
+        world.run(8 * SECOND);
         let first_at_dead = world.followers.iter().filter(|follower| follower.dials > 1).count();
         assert!(first_at_dead > followers / 5, "{first_at_dead}");
         assert_eq!(world.dials(), followers + first_at_dead, "one more each of these");
@@ -267,12 +267,12 @@
     let ready = Upstream::ReadyAfter(600 * MILLISECOND);
     for followers in sizes(75) {
         let mut world = World::new(followers, [ready; RELAYS]);
-        world.play(4 * SECOND);
-        world.heartbeat_due[1] = None;
+        world.run(4 * SECOND);
+        world.next_heartbeat_at[1] = None;
         world.relays[1].input(Input::UpstreamDisconnected);
         let connected = |world: &World| world.relays[1].relay.subscribers();
         let moved = connected(&world);
-        world.play(LIST_CHANGE_BOUND);
+        world.run(LIST_CHANGE_BOUND);
         assert_eq!((connected(&world), world.dials()), (0, followers + moved), "each moves by one dial");
         world.assert_all_caught_up();
     }
--- a/crates/distribution/tests/rollout.rs
+++ b/crates/distribution/tests/rollout.rs
@@ -52,13 +52,13 @@
                 continue;
             };
             self.last += 1;
-            let seen = RolloutInput::VersionStored { version: document.version, number: self.last };
-            self.rollout.handle(self.now, seen, &mut Vec::new());
+            let stored = RolloutInput::VersionStored { version: document.version, number: self.last };
+            self.rollout.handle(self.now, stored, &mut Vec::new());
         }
         out
     }
 
-    fn pass(&mut self, time: Duration) -> Vec<RolloutOutput> {
+    fn advance(&mut self, time: Duration) -> Vec<RolloutOutput> {
         self.now += time;
         self.input(RolloutInput::Tick)
     }
@@ -88,19 +88,21 @@
     for stage in 0..4 {
         assert_eq!(driver.observe(driver.last - 1, vec![]), [], "not applied by all");
         assert_eq!(driver.observe(driver.last, vec![]), [], "not soaked");
-        assert_eq!(driver.pass(SOAK), [], "only a report that came after the soak counts");
+        assert_eq!(driver.advance(SOAK), [], "only a report that came after the soak counts");
         assert_eq!(published(&driver.observe(driver.last, vec![])), Some(stage + 1));
     }
     assert_eq!(driver.observe(driver.last, vec![]), [RolloutOutput::Completed]);
     assert_eq!(*driver.rollout.state(), RolloutState::Completed);
     let documents: Vec<_> = (0..5).map(|stage| driver.rollout.plan().document(stage)).collect();
-    let shares = documents.iter().map(|document| document.targets.as_ref().map(|t| (t.share, t.zones.len())));
+    let shares = documents
+        .iter()
+        .map(|document| document.targets.as_ref().map(|targets| (targets.share, targets.zones.len())));
     let expected = [Some((0.01, 0)), Some((0.05, 0)), Some((0.05, 1)), Some((0.05, 2)), None];
     assert_eq!(shares.collect::<Vec<_>>(), expected);
 }
 
 #[test]
-fn rejections_halt_a_rollout_and_bring_the_content_of_before_back() {
+fn rejections_halt_a_rollout_and_roll_it_back() {
     let (mut driver, _) = Driver::start(plan());
     let rejections = vec![rejected(version(7, 0), 1)];
     let out = driver.observe(driver.last, rejections.clone());
@@ -116,19 +118,19 @@
     let (mut driver, _) = Driver::start(RolloutPlan { tolerated_rejections: 2, ..plan() });
     let tolerated = vec![rejected(version(7, 0), 2), rejected(version(6, 0), 9)];
     assert_eq!(driver.observe(driver.last, tolerated.clone()), []);
-    driver.pass(SOAK);
+    driver.advance(SOAK);
     assert_eq!(published(&driver.observe(driver.last, tolerated)), Some(1));
 }
 
 #[test]
-fn a_stage_that_is_not_applied_in_time_halts_it() {
+fn a_stage_that_is_not_applied_in_time_halts_the_rollout() {
     let (mut driver, _) = Driver::start(RolloutPlan { roll_back_when_halted: false, ..plan() });
     assert_eq!(driver.rollout.next_due(), Some(START + STAGE_TIME));
     driver.observe(driver.last, vec![]);
     assert_eq!(driver.rollout.next_due(), None, "applied");
     // A gateway with an older position appears: the stage is not applied any more.
     driver.observe(driver.last - 1, vec![]);
-    assert_eq!(driver.pass(STAGE_TIME), [RolloutOutput::Halted(HaltReason::StageOverdue { stage: 0 })]);
+    assert_eq!(driver.advance(STAGE_TIME), [RolloutOutput::Halted(HaltReason::StageOverdue { stage: 0 })]);
     assert_eq!(driver.observe(driver.last, vec![]), [], "it goes no further");
     let [RolloutOutput::RollBack(_)] = driver.input(RolloutInput::RollBack)[..] else {
         panic!("no rollback")
@@ -136,7 +138,7 @@
 }
 
 #[test]
-fn without_gateways_or_with_rejections_left_out_nothing_counts_as_applied() {
+fn nothing_counts_as_applied_without_gateways_or_with_omitted_rejections() {
     let (mut driver, _) = Driver::start(plan());
     let observation = Observation { applied: u64::MAX, ..Observation::default() };
     assert_eq!(driver.input(RolloutInput::Observed(observation.clone())), []);
@@ -147,12 +149,12 @@
 }
 
 #[test]
-fn a_publisher_that_restarts_goes_on_at_the_stage_held() {
+fn a_restarted_publisher_resumes_at_the_stored_stage() {
     let mut rollout = Rollout::resume(START, plan(), version(7, 2)).expect("a plan");
     let mut out = Vec::new();
     rollout.handle(START, RolloutInput::Start, &mut out);
     assert_eq!((out, rollout.is_under_way()), (vec![], true));
-    let resumed = |held| Rollout::resume(START, plan(), held).expect("a plan").state().clone();
+    let resumed = |stored| Rollout::resume(START, plan(), stored).expect("a plan").state().clone();
     assert_eq!(resumed(version(8, 0)), RolloutState::RollingBack { number: None });
     assert_eq!(resumed(version(6, 0)), RolloutState::Planned);
 }
@@ -181,7 +183,7 @@
     Pass(u64),
     /// What the relays report: events short of the last, gateways that reject, whether some are left out.
     Observe {
-        short: u64,
+        events_behind: u64,
         rejecting: u64,
         omitted: bool,
     },
@@ -190,8 +192,13 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let observe = (0..3_u64, prop_oneof![9 => Just(0), 1 => 0..4_u64], prop::bool::weighted(0.02))
-        .prop_map(|(short, rejecting, omitted)| Step::Observe { short: short / 2, rejecting, omitted });
+    let observe = (0..3_u64, prop_oneof![9 => Just(0), 1 => 0..4_u64], prop::bool::weighted(0.02)).prop_map(
+        |(events_behind, rejecting, omitted)| Step::Observe {
+            events_behind: events_behind / 2,
+            rejecting,
+            omitted,
+        },
+    );
     let step = prop_oneof![
         6 => observe,
         4 => (1..15_u64).prop_map(Step::Pass),
@@ -215,19 +222,19 @@
             let was_over = is_over;
             let stage_number = driver.last;
             let (out, observed) = match step {
-                Step::Pass(seconds) => (driver.pass(seconds as u32 * SECOND), None),
+                Step::Pass(seconds) => (driver.advance(seconds as u32 * SECOND), None),
                 Step::Halt => (driver.input(RolloutInput::Halt), None),
                 Step::RollBack => (driver.input(RolloutInput::RollBack), None),
-                Step::Observe { short, rejecting, omitted } => {
+                Step::Observe { events_behind, rejecting, omitted } => {
                     let rejections = (rejecting > 0).then(|| rejected(version(7, stage), rejecting));
                     let observation = Observation {
-                        applied: stage_number - short,
+                        applied: stage_number - events_behind,
                         gateways: 100,
                         lost: 0,
                         rejections: rejections.into_iter().collect(),
                         rejections_omitted: omitted,
                     };
-                    let is_applied = short == 0 && rejecting <= tolerated && !omitted;
+                    let is_applied = events_behind == 0 && rejecting <= tolerated && !omitted;
                     (driver.input(RolloutInput::Observed(observation)), Some(is_applied))
                 }
             };
--- a/crates/distribution/tests/rollout_model.rs
+++ b/crates/distribution/tests/rollout_model.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 const ZONES: [&str; 3] = ["z-1", "z-2", "z-3"];
-const STEP: Duration = Duration::from_secs(1);
+const TIME_STEP: Duration = Duration::from_secs(1);
 /// Steps of time at most.
 const MAX_STEPS: u8 = 2;
 /// Restarts of gateways at most.
@@ -28,7 +28,7 @@
 
 /// A fault planted to see that the model finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Planted {
+enum PlantedFault {
     Nothing,
     /// A relay's snapshot has no documents.
     SnapshotWithoutDocuments,
@@ -43,28 +43,28 @@
 }
 
 struct World {
-    planted: Planted,
+    planted_fault: PlantedFault,
     /// By history: what is made of it, for few histories are met in many states.
-    known: Mutex<BTreeMap<Vec<Arc<str>>, Arc<Known>>>,
+    derived: Mutex<BTreeMap<Vec<Arc<str>>, Arc<Derived>>>,
 }
 
 /// What is made of a history.
-struct Known {
+struct Derived {
     events: Vec<Event>,
     log: EventLog,
     /// By gateway.
     wanted: Vec<BTreeMap<String, (EventNumber, Document)>>,
 }
 
-impl Known {
-    fn new(history: &[Arc<str>]) -> Known {
+impl Derived {
+    fn new(history: &[Arc<str>]) -> Derived {
         let events: Vec<Event> = history.iter().map(|data| read(data)).collect();
         let mut log = EventLog::new(LOG);
         for event in &events {
             log.append(event.clone()).expect("in order");
         }
         let wanted = ZONES.iter().map(|zone| wanted(&events, &format!("g-{zone}"), zone)).collect();
-        Known { events, log, wanted }
+        Derived { events, log, wanted }
     }
 }
 
@@ -127,9 +127,9 @@
         content: Some(format!("\"{BAD}\"").into()),
         previous: Some("1".into()),
         stages: RolloutPlan::stages(&[], &[ZONES[0], ZONES[1]].map(str::to_string)),
-        minimum_soak: STEP,
+        minimum_soak: TIME_STEP,
         tolerated_rejections: 0,
-        max_stage_time: 2 * STEP,
+        max_stage_time: 2 * TIME_STEP,
         roll_back_when_halted: true,
     }
 }
@@ -140,7 +140,7 @@
 
 impl State {
     fn now(&self) -> MonotonicTime {
-        START + u32::from(self.steps) * STEP
+        START + u32::from(self.steps) * TIME_STEP
     }
 
     fn next_number(&self) -> EventNumber {
@@ -186,23 +186,23 @@
 }
 
 impl World {
-    fn new(planted: Planted) -> World {
-        World { planted, known: Mutex::default() }
+    fn new(planted_fault: PlantedFault) -> World {
+        World { planted_fault, derived: Mutex::default() }
     }
 
-    fn known(&self, state: &State) -> Arc<Known> {
-        let mut known = self.known.lock().expect("no panic");
-        let entry = known.entry(state.history.clone());
-        entry.or_insert_with(|| Arc::new(Known::new(&state.history))).clone()
+    fn derived(&self, state: &State) -> Arc<Derived> {
+        let mut derived = self.derived.lock().expect("no panic");
+        let entry = derived.entry(state.history.clone());
+        entry.or_insert_with(|| Arc::new(Derived::new(&state.history))).clone()
     }
 
     fn deliver(&self, state: &mut State, index: usize) {
-        let known = self.known(state);
-        let log = &known.log;
+        let derived = self.derived(state);
+        let log = &derived.log;
         let cursor = state.gateways[index].gateway.cursor;
         let event = match log.first() > cursor + 1 {
             true => self.snapshot(log),
-            false => self.event(&known, cursor + 1),
+            false => self.event(&derived, cursor + 1),
         };
         let entry = &mut state.gateways[index];
         entry.connected = true;
@@ -210,31 +210,34 @@
         let has_new = |document: &Document| document.version.version == NEW_VERSION && document.id == id("a");
         entry.has_applied |= entry.gateway.documents.in_force().any(has_new);
         if entry.gateway.cursor == log.last() {
-            state.seen.other_documents |= !has_wanted(&entry.gateway, &known.wanted[index]);
+            state.seen.other_documents |= !has_wanted(&entry.gateway, &derived.wanted[index]);
         }
     }
 
     fn snapshot(&self, log: &EventLog) -> Event {
-        match self.planted {
-            Planted::SnapshotWithoutDocuments => list(log.last(), true, &[store_json(1, "up")]),
+        match self.planted_fault {
+            PlantedFault::SnapshotWithoutDocuments => list(log.last(), true, &[store_json(1, "up")]),
             _ => read(&log.snapshot(log.last(), |_| true).expect("a full list")),
         }
     }
 
-    fn event(&self, known: &Known, number: EventNumber) -> Event {
-        let (earlier, later) = known.events.split_at(number as usize);
+    fn event(&self, derived: &Derived, number: EventNumber) -> Event {
+        let (earlier, later) = derived.events.split_at(number as usize);
         let event = &earlier[number as usize - 1];
         let staged_later = later.iter().any(|later| later.data.contains("targets"));
-        if self.planted == Planted::StagedReplacesVersionForAll && staged_later && event.has_documents() {
+        if self.planted_fault == PlantedFault::StagedReplacesVersionForAll
+            && staged_later
+            && event.has_documents()
+        {
             return read(&placeholder(number));
         }
-        compacted(&known.log, event)
+        compacted(&derived.log, event)
     }
 
     fn report(&self, state: &mut State, index: usize) {
         let last = state.history.len() as EventNumber;
         let entry = &mut state.gateways[index];
-        let early = u64::from(self.planted == Planted::PositionBeforeDecision);
+        let early = u64::from(self.planted_fault == PlantedFault::PositionBeforeDecision);
         let applied = (entry.gateway.cursor + early).min(last);
         let observation = observation(applied, &entry.gateway, ZONES[index]);
         entry.reported = Some(Report { applied, observation });
@@ -242,8 +245,8 @@
 
     /// What the relay says of all gateways, by the program's own positions.
     fn observe(&self, state: &mut State) {
-        let known = self.known(state);
-        for stored in known.log.documents().iter().filter(|stored| stored.document.id == id("a")) {
+        let derived = self.derived(state);
+        for stored in derived.log.documents().iter().filter(|stored| stored.document.id == id("a")) {
             state.drive(RolloutInput::VersionStored {
                 version: stored.document.version,
                 number: stored.number,
@@ -253,7 +256,7 @@
         let mut positions = Positions::new(limits);
         for (index, entry) in state.gateways.iter().enumerate() {
             let Some(Report { applied, observation }) = &entry.reported else { continue };
-            if self.planted == Planted::LostGatewaysNotCounted && !entry.connected {
+            if self.planted_fault == PlantedFault::LostGatewaysNotCounted && !entry.connected {
                 continue;
             }
             let rejections = observation.rejections.clone();
@@ -261,7 +264,7 @@
             positions.report(START, index as u64, Some(ZONES[index]), report);
         }
         let mut observation = positions.aggregate().observation();
-        if self.planted == Planted::RejectionsNotObserved {
+        if self.planted_fault == PlantedFault::RejectionsNotObserved {
             observation.rejections.clear();
         }
         state.drive(RolloutInput::Observed(observation));
@@ -301,11 +304,11 @@
             state.publish(document("a", 1, Some("1")));
             // All gateways are there and up to date.
             for index in 0..ZONES.len() {
-                for event in &self.known(&state).events {
+                for event in &self.derived(&state).events {
                     state.gateways[index].gateway.read(event);
                 }
                 state.gateways[index].connected = true;
-                World::new(Planted::Nothing).report(&mut state, index);
+                World::new(PlantedFault::Nothing).report(&mut state, index);
             }
             state.drive(RolloutInput::Start);
             state
@@ -378,7 +381,7 @@
 
 #[test]
 fn the_invariants_hold_in_every_order() {
-    let checker = World::new(Planted::Nothing).checker().threads(3).spawn_bfs().join();
+    let checker = World::new(PlantedFault::Nothing).checker().threads(3).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
@@ -386,15 +389,15 @@
 #[test]
 fn each_planted_fault_is_found() {
     let cases = [
-        (Planted::SnapshotWithoutDocuments, OTHER_DOCUMENTS),
-        (Planted::StagedReplacesVersionForAll, OTHER_DOCUMENTS),
-        (Planted::RejectionsNotObserved, TOO_EARLY),
-        (Planted::PositionBeforeDecision, TOO_EARLY),
-        (Planted::LostGatewaysNotCounted, TOO_EARLY),
+        (PlantedFault::SnapshotWithoutDocuments, OTHER_DOCUMENTS),
+        (PlantedFault::StagedReplacesVersionForAll, OTHER_DOCUMENTS),
+        (PlantedFault::RejectionsNotObserved, TOO_EARLY),
+        (PlantedFault::PositionBeforeDecision, TOO_EARLY),
+        (PlantedFault::LostGatewaysNotCounted, TOO_EARLY),
     ];
-    for (planted, property) in cases {
+    for (planted_fault, property) in cases {
         let found = HasDiscoveries::AllOf(BTreeSet::from([property]));
-        let checker = World::new(planted).checker().threads(3).finish_when(found).spawn_bfs().join();
-        assert!(checker.discovery(property).is_some(), "{planted:?} is not found");
+        let checker = World::new(planted_fault).checker().threads(3).finish_when(found).spawn_bfs().join();
+        assert!(checker.discovery(property).is_some(), "{planted_fault:?} is not found");
     }
 }
--- a/crates/distribution/tests/scale.rs
+++ b/crates/distribution/tests/scale.rs
@@ -18,7 +18,7 @@
 }
 
 /// Entries touched by a thousand appends to a full log of `events` whose objects come again after two thirds of it.
-fn touched(events: usize) -> usize {
+fn entries_touched(events: usize) -> usize {
     const APPENDS: u64 = 1000;
     let mut log = EventLog::new(LogLimits { events, bytes: usize::MAX });
     let objects = events as u64 * 2 / 3;
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn an_append_touches_as_many_entries_however_many_are_remembered() {
-    let counts = sizes(1000).map(touched);
+fn the_cost_of_an_append_does_not_grow_with_the_log() {
+    let counts = sizes(1000).map(entries_touched);
     assert_constant(counts, "entries touched");
     assert_eq!(counts[0], 3000, "its own, the one replaced, the one evicted");
 }
@@ -47,11 +47,11 @@
     for number in 2..=events {
         driver.input(Input::Event(purge(number, number)));
         if number % 25 == 0 {
-            driver.pass(100 * MILLISECOND);
+            driver.advance(100 * MILLISECOND);
         }
     }
     driver.heartbeat();
-    driver.pass(SECOND);
+    driver.advance(SECOND);
     driver
 }
 
@@ -72,7 +72,7 @@
 }
 
 /// Lets all that were accepted read to the end, and those that are then admitted; returns the chunks pulled.
-fn drain(driver: &mut Driver, mut accepted: Vec<u64>) -> usize {
+fn read_all(driver: &mut Driver, mut accepted: Vec<u64>) -> usize {
     let mut chunks = 0;
     while !accepted.is_empty() {
         for id in std::mem::take(&mut accepted) {
@@ -80,12 +80,12 @@
                 chunks += 1;
             }
         }
-        accepted = accept(&driver.input(Input::Tick));
+        accepted = accepted_ids(&driver.input(Input::Tick));
     }
     chunks
 }
 
-fn accept(out: &[Output]) -> Vec<u64> {
+fn accepted_ids(out: &[Output]) -> Vec<u64> {
     let accept = |output: &Output| match output {
         Output::Accept(id) => Some(*id),
         _ => None,
@@ -94,89 +94,92 @@
 }
 
 #[test]
-fn a_batch_is_encoded_once_an_encoding_however_many_subscribers_read_it() {
+fn a_batch_is_encoded_once_per_encoding_for_any_number_of_subscribers() {
     let counts = sizes(100).map(|subscribers| {
         let mut driver = relay(settings(), 100);
         subscribe(&mut driver, subscribers, 100);
         let ids: Vec<_> = (1..=subscribers as u64).collect();
-        drain(&mut driver, ids.clone());
-        let before = driver.relay.statistics();
+        read_all(&mut driver, ids.clone());
+        let statistics_before = driver.relay.statistics();
         for number in 101..=125 {
             driver.input(Input::Event(purge(number, number)));
         }
-        driver.pass(100 * MILLISECOND);
-        let chunks = drain(&mut driver, ids);
+        driver.advance(100 * MILLISECOND);
+        let chunks = read_all(&mut driver, ids);
         assert_eq!(chunks, subscribers);
-        let after = driver.relay.statistics();
-        assert_eq!(after.batches_encoded - before.batches_encoded, 2);
-        (after.text_bytes - before.text_bytes, after.encoded_bytes - before.encoded_bytes)
+        let statistics_after = driver.relay.statistics();
+        assert_eq!(statistics_after.batches_encoded - statistics_before.batches_encoded, 2);
+        (
+            statistics_after.text_bytes - statistics_before.text_bytes,
+            statistics_after.encoded_bytes - statistics_before.encoded_bytes,
+        )
     });
     assert_constant(counts, "bytes encoded");
 }
 
 #[test]
-fn pages_and_snapshots_are_encoded_once_however_many_subscribers_return() {
+fn pages_and_snapshots_are_encoded_once_for_any_number_of_subscribers() {
     let counts = sizes(50).map(|subscribers| {
         let log = LogLimits { events: 3000, bytes: 1 << 24 };
         let mut driver = relay(RelaySettings { log, max_catching_up: 16, ..settings() }, 5000);
-        let before = driver.relay.statistics();
+        let statistics_before = driver.relay.statistics();
         let mut accepted = Vec::new();
         for id in 1..=subscribers as u64 {
             // Half of them are in the log, at places of their own; the other half are older than it.
             let cursor = if id % 2 == 0 { 2000 + id } else { id };
-            accepted.extend(accept(&driver.subscribe(id, request(cursor))));
+            accepted.extend(accepted_ids(&driver.subscribe(id, request(cursor))));
         }
-        drain(&mut driver, accepted);
+        read_all(&mut driver, accepted);
         assert_eq!((driver.relay.catching_up(), driver.relay.waiting()), (0, 0));
-        let after = driver.relay.statistics();
-        let pages = after.pages_encoded - before.pages_encoded;
-        (pages, after.snapshots_encoded - before.snapshots_encoded)
+        let statistics_after = driver.relay.statistics();
+        let pages = statistics_after.pages_encoded - statistics_before.pages_encoded;
+        (pages, statistics_after.snapshots_encoded - statistics_before.snapshots_encoded)
     });
     assert_constant(counts, "pages and snapshots encoded");
     assert_eq!(counts[0], (6, 1));
 }
 
 #[test]
-fn twelve_thousand_that_return_at_once_are_served_in_order_from_the_same_pages() {
+fn twelve_thousand_returning_subscribers_are_served_in_order_from_the_same_pages() {
     const RETURNING: usize = 12_000;
     let mut driver = relay(settings(), 5000);
-    let before = driver.relay.statistics();
+    let statistics_before = driver.relay.statistics();
     let mut order = Vec::new();
     for id in 1..=RETURNING as u64 {
-        order.extend(accept(
+        order.extend(accepted_ids(
             &driver.subscribe(id, SubscribeRequest { encoding: Encoding::Gzip, ..request(100) }),
         ));
     }
-    let at_once = order.len();
-    assert_eq!(at_once, RelaySettings::default().max_catching_up);
+    let concurrent = order.len();
+    assert_eq!(concurrent, RelaySettings::default().max_catching_up);
     let mut accepted = order.clone();
     while !accepted.is_empty() {
-        assert!(driver.relay.catching_up() <= at_once);
+        assert!(driver.relay.catching_up() <= concurrent);
         for id in std::mem::take(&mut accepted) {
             while driver.relay.next_chunk(driver.now, id).is_some() {}
         }
-        accepted = accept(&driver.input(Input::Tick));
+        accepted = accepted_ids(&driver.input(Input::Tick));
         order.extend(&accepted);
     }
     assert_eq!(order, (1..=RETURNING as u64).collect::<Vec<_>>());
-    let after = driver.relay.statistics();
-    assert_eq!(after.pages_encoded - before.pages_encoded, 10);
+    let statistics_after = driver.relay.statistics();
+    assert_eq!(statistics_after.pages_encoded - statistics_before.pages_encoded, 10);
 }
 
 #[test]
-fn a_subscriber_adds_its_own_state_and_nothing_else() {
+fn a_subscriber_adds_only_its_own_state() {
     const { assert!(SUBSCRIBER_BYTES <= 160) };
     let counts = sizes(100).map(|subscribers| {
         let mut driver = relay(settings(), 100);
         subscribe(&mut driver, subscribers, 100);
-        drain(&mut driver, (1..=subscribers as u64).collect());
+        read_all(&mut driver, (1..=subscribers as u64).collect());
         driver.relay.bytes()
     });
     assert_constant(counts, "bytes of log, batches and pages");
 }
 
 #[test]
-fn a_position_report_is_as_long_however_many_gateways_it_stands_for() {
+fn the_size_of_a_position_report_does_not_grow_with_the_gateways() {
     let limits = PositionLimits { lost_retention: SECOND, max_lost: 100, max_advances: 100 };
     let counts = sizes(750).map(|gateways| {
         let mut positions = Positions::new(limits);
--- a/crates/distribution/tests/site_lists.rs
+++ b/crates/distribution/tests/site_lists.rs
@@ -381,14 +381,17 @@
 }
 
 /// A history: settings, the first list and steps.
-type Drawn = (Settings, Vec<Entry>, Vec<Step>);
+type RandomHistory = (Settings, Vec<Entry>, Vec<Step>);
 
-fn history() -> impl Strategy<Value = Drawn> {
+fn history() -> impl Strategy<Value = RandomHistory> {
     (settings(), prop::collection::vec(entry(), 1..30), prop::collection::vec(step(), 1..200))
 }
 
 /// Plays a history; fails at the first choice that differs. Returns the attempts made.
-fn play((settings, first, steps): &Drawn, reduction: Reduction) -> Result<usize, TestCaseError> {
+fn run_history(
+    (settings, first, steps): &RandomHistory,
+    reduction: Reduction,
+) -> Result<usize, TestCaseError> {
     let mut pair = Pair::new(settings, reduction);
     pair.list(first, true)?;
     for step in steps {
@@ -401,22 +404,22 @@
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_site_and_its_sources_lead_to_the_same_choices_as_the_whole_list(history in history()) {
-        play(&history, Reduction::Scope(site_scope()))?;
+    fn a_site_and_its_sources_lead_to_the_same_choices_as_the_full_list(history in history()) {
+        run_history(&history, Reduction::Scope(site_scope()))?;
     }
 }
 
 /// A scope may hold more than the site needs; and the histories that are compared hold attempts.
 #[test]
-fn wider_scopes_lead_to_the_same_choices_too() {
+fn wider_scopes_lead_to_the_same_choices() {
     let wider = Scope { sites: names(&[OWN_SITE, OWN_SITE + 1]), ..site_scope() };
     let config = ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() };
     let attempts = std::cell::Cell::new(0);
-    let played = TestRunner::new(config).run(&history(), |history| {
-        attempts.set(attempts.get() + play(&history, Reduction::Scope(wider.clone()))?);
+    let result = TestRunner::new(config).run(&history(), |history| {
+        attempts.set(attempts.get() + run_history(&history, Reduction::Scope(wider.clone()))?);
         Ok(())
     });
-    played.expect("the same choices");
+    result.expect("the same choices");
     assert!(attempts.get() > 2_000, "{} attempts compared", attempts.get());
 }
 
@@ -440,8 +443,8 @@
             failure_persistence: None,
             ..ProptestConfig::default()
         };
-        let found =
-            TestRunner::new(config).run(&history(), |history| play(&history, fault.clone()).map(|_| ()));
+        let found = TestRunner::new(config)
+            .run(&history(), |history| run_history(&history, fault.clone()).map(|_| ()));
         assert!(found.is_err(), "{fault:?} is not found");
     }
 }
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -25,9 +25,9 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn settings(kind: SourceKind, sources: u16) -> SubscriberSettings {
+fn settings(kind: SourceKind, source_count: u16) -> SubscriberSettings {
     SubscriberSettings {
-        sources: (0..sources).map(address).collect(),
+        sources: (0..source_count).map(address).collect(),
         kind,
         verify: kind == SourceKind::Relay,
         restart_history: true,
@@ -41,7 +41,7 @@
     EventMetadata { number: Some(number), digest: Some(number.wrapping_add(1000)), is_full_list: false }
 }
 
-fn missing(after: EventNumber, next: EventNumber) -> Output {
+fn events_missing(after: EventNumber, next: EventNumber) -> Output {
     Output::Gap { after, reason: GapReason::EventsMissing { next } }
 }
 
@@ -57,21 +57,21 @@
         Rig { now: START, subscriber: Subscriber::new(START, settings, cursor, 7), out: Vec::new() }
     }
 
-    fn give(&mut self, input: Input<'_>) -> Vec<Output> {
+    fn input(&mut self, input: Input<'_>) -> Vec<Output> {
         self.subscriber.handle(self.now, input, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
     fn event(&mut self, number: EventNumber) -> Vec<Output> {
-        self.give(Input::Event(received(number)))
+        self.input(Input::Event(received(number)))
     }
 
     /// Waits for the next tick, which must dial; returns the pause and the request.
-    fn dialled(&mut self) -> (Duration, Subscription) {
+    fn expect_dial(&mut self) -> (Duration, Subscription) {
         let due = self.subscriber.next_due().expect("something is due");
         let pause = due.saturating_since(self.now);
         self.now = self.now.max(due);
-        match &self.give(Input::Tick)[..] {
+        match &self.input(Input::Tick)[..] {
             [Output::Dial(subscription)] => (pause, subscription.clone()),
             other => panic!("no dial: {other:?}"),
         }
@@ -79,48 +79,48 @@
 }
 
 #[test]
-fn a_plain_source_is_dialled_at_once_then_with_doubled_pauses_until_it_says_something() {
+fn a_plain_source_is_dialled_immediately_then_with_doubling_backoff_until_it_sends_data() {
     let mut rig = Rig::new(settings(SourceKind::Plain, 1), 4);
-    let (pause, request) = rig.dialled();
+    let (pause, request) = rig.expect_dial();
     assert_eq!((pause, request.after, request.if_match), (Duration::ZERO, 4, None));
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        assert_eq!(rig.give(Input::Disconnected), [Output::Disconnected]);
-        pauses.push(rig.dialled().0.as_millis());
+        assert_eq!(rig.input(Input::Disconnected), [Output::Disconnected]);
+        pauses.push(rig.expect_dial().0.as_millis());
     }
     assert_eq!(pauses, [100, 200, 400, 800, 1600, 2000]);
-    assert_eq!(rig.give(Input::BytesReceived), [Output::SourceAlive(rig.now)]);
-    rig.give(Input::Disconnected);
-    assert_eq!(rig.dialled().0, INITIAL_BACKOFF);
+    assert_eq!(rig.input(Input::BytesReceived), [Output::SourceAlive(rig.now)]);
+    rig.input(Input::Disconnected);
+    assert_eq!(rig.expect_dial().0, INITIAL_BACKOFF);
 }
 
 #[test]
 fn a_source_that_is_silent_for_two_and_a_half_seconds_is_left() {
     let mut rig = Rig::new(settings(SourceKind::Plain, 1), 0);
-    rig.dialled();
+    rig.expect_dial();
     rig.now += SECOND;
-    rig.give(Input::BytesReceived);
+    rig.input(Input::BytesReceived);
     assert_eq!(rig.subscriber.next_due(), Some(rig.now + SILENCE_TIMEOUT));
     rig.now += SILENCE_TIMEOUT - MICROSECOND;
-    assert_eq!(rig.give(Input::Tick), []);
+    assert_eq!(rig.input(Input::Tick), []);
     rig.now += MICROSECOND;
-    assert_eq!(rig.give(Input::Tick), [Output::Close(LeaveReason::Silent), Output::Disconnected]);
+    assert_eq!(rig.input(Input::Tick), [Output::Close(LeaveReason::Silent), Output::Disconnected]);
 }
 
 #[test]
 fn missing_and_unreadable_events_are_requested_once_more_and_then_skipped() {
     let mut rig = Rig::new(settings(SourceKind::Plain, 1), 0);
     let unreadable = Input::Event(EventMetadata { number: None, digest: None, is_full_list: false });
-    rig.dialled();
+    rig.expect_dial();
     assert_eq!(rig.event(1), [Output::Apply(1)]);
     assert_eq!(rig.event(3), [Output::Close(LeaveReason::EventMissing), Output::Disconnected]);
-    assert_eq!(rig.dialled().1.after, 1);
-    assert_eq!(rig.event(3), [missing(1, 3), Output::Apply(3)]);
+    assert_eq!(rig.expect_dial().1.after, 1);
+    assert_eq!(rig.event(3), [events_missing(1, 3), Output::Apply(3)]);
     assert_eq!(rig.event(2), [], "it comes too late");
-    assert_eq!(rig.give(unreadable), [Output::Close(LeaveReason::EventUnreadable), Output::Disconnected]);
-    rig.dialled();
-    assert_eq!(rig.give(unreadable), [Output::Skip]);
-    assert_eq!(rig.event(5), [missing(3, 5), Output::Apply(5)]);
+    assert_eq!(rig.input(unreadable), [Output::Close(LeaveReason::EventUnreadable), Output::Disconnected]);
+    rig.expect_dial();
+    assert_eq!(rig.input(unreadable), [Output::Skip]);
+    assert_eq!(rig.event(5), [events_missing(3, 5), Output::Apply(5)]);
     assert_eq!(rig.subscriber.gaps(), 3);
 }
 
@@ -128,36 +128,36 @@
 fn an_event_whose_number_is_past_the_largest_is_unreadable() {
     for number in [MAX_EVENT_NUMBER + 1, EventNumber::MAX] {
         let mut rig = Rig::new(settings(SourceKind::Plain, 1), 0);
-        rig.dialled();
+        rig.expect_dial();
         assert_eq!(rig.event(1), [Output::Apply(1)]);
         let left = [Output::Close(LeaveReason::EventUnreadable), Output::Disconnected];
         assert_eq!(rig.event(number), left);
-        rig.dialled();
+        rig.expect_dial();
         assert_eq!(rig.event(number), [Output::Skip]);
         assert_eq!(rig.event(2), [Output::Apply(2)]);
     }
     let mut rig = Rig::new(settings(SourceKind::Plain, 1), EventNumber::MAX);
     rig.subscriber.advance(EventNumber::MAX);
-    assert_eq!(rig.dialled().1.after, MAX_EVENT_NUMBER);
+    assert_eq!(rig.expect_dial().1.after, MAX_EVENT_NUMBER);
     assert_eq!(rig.event(1), []);
 }
 
 #[test]
 fn the_request_to_the_next_relay_has_the_cursor_and_its_digest() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 2), 0);
-    let first = rig.dialled().1;
+    let first = rig.expect_dial().1;
     assert_eq!((first.source, first.if_match), (address(0), None));
-    rig.give(Input::BytesReceived);
+    rig.input(Input::BytesReceived);
     rig.event(1);
     rig.event(2);
-    let bare = EventMetadata { digest: None, ..received(3) };
-    assert_eq!(rig.give(Input::Event(bare)), [Output::Apply(3)]);
+    let without_digest = EventMetadata { digest: None, ..received(3) };
+    assert_eq!(rig.input(Input::Event(without_digest)), [Output::Apply(3)]);
     for (input, reason) in [
         (Input::Refused { status: 503, retry_after: Some(9 * SECOND) }, LeaveReason::Refused(503)),
         (Input::Malformed, LeaveReason::Malformed),
     ] {
-        assert_eq!(rig.give(input), [Output::Close(reason), Output::Disconnected]);
-        let (pause, request) = rig.dialled();
+        assert_eq!(rig.input(input), [Output::Close(reason), Output::Disconnected]);
+        let (pause, request) = rig.expect_dial();
         assert!(pause <= INITIAL_BACKOFF, "{pause:?}");
         assert_eq!((request.after, request.if_match), (2, Some(1002)), "the last event with a digest");
         assert_eq!(request.source, address(1), "the first one is left alone for nine seconds");
@@ -165,32 +165,36 @@
 }
 
 #[test]
-fn a_source_that_asks_for_a_long_pause_is_dialled_again_after_the_longest() {
+fn retry_after_is_limited_to_the_maximum() {
     let pauses =
         [MAX_RETRY_AFTER, MAX_RETRY_AFTER + MICROSECOND, Duration::from_micros(u64::MAX), Duration::MAX];
     for (kind, status) in [(SourceKind::Plain, 503), (SourceKind::Relay, 503), (SourceKind::Relay, 412)] {
-        for asked in pauses {
+        for requested in pauses {
             let mut rig = Rig::new(settings(kind, 1), 0);
-            rig.dialled();
-            rig.give(Input::Refused { status, retry_after: Some(asked) });
-            let (pause, request) = rig.dialled();
-            assert_eq!((pause, request.source), (MAX_RETRY_AFTER, address(0)), "{kind:?} {status} {asked:?}");
+            rig.expect_dial();
+            rig.input(Input::Refused { status, retry_after: Some(requested) });
+            let (pause, request) = rig.expect_dial();
+            assert_eq!(
+                (pause, request.source),
+                (MAX_RETRY_AFTER, address(0)),
+                "{kind:?} {status} {requested:?}"
+            );
         }
     }
 }
 
 #[test]
-fn another_relay_is_dialled_at_once_and_all_of_them_only_after_a_pause() {
+fn failover_to_another_relay_is_immediate_and_a_full_round_backs_off() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 3), 0);
-    let mut asked = vec![rig.dialled().1.source];
+    let mut requested = vec![rig.expect_dial().1.source];
     let mut pauses = Vec::new();
     for _ in 0..4 {
-        rig.give(Input::Disconnected);
-        let (pause, request) = rig.dialled();
-        asked.push(request.source);
+        rig.input(Input::Disconnected);
+        let (pause, request) = rig.expect_dial();
+        requested.push(request.source);
         pauses.push(pause);
     }
-    assert_eq!(asked, [0, 1, 2, 0, 1].map(address));
+    assert_eq!(requested, [0, 1, 2, 0, 1].map(address));
     let millis = Duration::from_millis;
     assert!(pauses[..2].iter().all(|pause| *pause <= millis(50)), "{pauses:?}");
     assert!((millis(50)..=millis(100)).contains(&pauses[2]), "{pauses:?}");
@@ -198,43 +202,43 @@
 }
 
 #[test]
-fn a_history_that_all_relays_refuse_is_given_up_and_reported() {
+fn a_history_that_all_relays_reject_is_reset_and_reported_as_a_gap() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 2), 0);
-    rig.dialled();
+    rig.expect_dial();
     rig.event(1);
     let refused = Input::Refused { status: 412, retry_after: None };
-    assert_eq!(rig.give(refused), [Output::Close(LeaveReason::Refused(412)), Output::Disconnected]);
-    rig.dialled();
-    assert_eq!(rig.give(refused)[2..], [Output::Gap { after: 1, reason: GapReason::OtherHistory }]);
-    assert_eq!((rig.dialled().1.after, rig.subscriber.cursor()), (0, 0));
+    assert_eq!(rig.input(refused), [Output::Close(LeaveReason::Refused(412)), Output::Disconnected]);
+    rig.expect_dial();
+    assert_eq!(rig.input(refused)[2..], [Output::Gap { after: 1, reason: GapReason::OtherHistory }]);
+    assert_eq!((rig.expect_dial().1.after, rig.subscriber.cursor()), (0, 0));
     // One that holds on to its history goes on requesting it.
     let mut rig =
         Rig::new(SubscriberSettings { restart_history: false, ..settings(SourceKind::Relay, 1) }, 0);
-    rig.dialled();
+    rig.expect_dial();
     rig.event(1);
-    assert_eq!(rig.give(refused).len(), 2);
-    assert_eq!(rig.dialled().1.after, 1);
+    assert_eq!(rig.input(refused).len(), 2);
+    assert_eq!(rig.expect_dial().1.after, 1);
 }
 
 /// Liveness: a relay that is dead for good can't say that its history is another one.
 #[test]
-fn a_dead_relay_does_not_keep_a_subscriber_in_a_history_that_the_others_refuse() {
+fn a_dead_relay_does_not_block_the_reset_of_a_history_that_the_others_reject() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 2), 0);
-    rig.dialled();
+    rig.expect_dial();
     rig.event(1);
-    rig.give(Input::Disconnected);
+    rig.input(Input::Disconnected);
     let refused = Input::Refused { status: 412, retry_after: None };
     let (dead, alive) = (address(0), address(1));
     let mut refusals = 0;
     let gap = loop {
-        let (_, request) = rig.dialled();
+        let (_, request) = rig.expect_dial();
         if request.source == dead {
-            rig.give(Input::Disconnected);
+            rig.input(Input::Disconnected);
             continue;
         }
         assert_eq!((request.source, request.if_match), (alive, Some(1001)));
         refusals += 1;
-        let outputs = rig.give(refused);
+        let outputs = rig.input(refused);
         if outputs.len() > 2 {
             break outputs[2].clone();
         }
@@ -246,50 +250,50 @@
 }
 
 #[test]
-fn a_snapshot_is_a_gap_even_if_it_stands_for_the_next_number() {
+fn a_snapshot_is_a_gap_even_if_it_has_the_next_number() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 1), 0);
-    rig.dialled();
+    rig.expect_dial();
     (1..=4).for_each(|number| drop(rig.event(number)));
-    rig.give(Input::Disconnected);
-    rig.dialled();
+    rig.input(Input::Disconnected);
+    rig.expect_dial();
     let snapshot = EventMetadata { is_full_list: true, ..received(5) };
-    let expected = [missing(4, 5), Output::Apply(5)];
-    assert_eq!(rig.give(Input::Event(snapshot)), expected);
+    let expected = [events_missing(4, 5), Output::Apply(5)];
+    assert_eq!(rig.input(Input::Event(snapshot)), expected);
     let list = EventMetadata { is_full_list: true, ..received(6) };
     assert_eq!(
-        rig.give(Input::Event(list)),
+        rig.input(Input::Event(list)),
         [Output::Apply(6)],
         "a list in the middle is an event like others"
     );
-    rig.give(Input::Disconnected);
+    rig.input(Input::Disconnected);
     // The history of these numbers is unknown, so the subscriber begins anew.
     rig.now = rig.subscriber.next_due().expect("a dial");
-    let outputs = rig.give(Input::Tick);
+    let outputs = rig.input(Input::Tick);
     assert_eq!(outputs[0], Output::Gap { after: 6, reason: GapReason::HistoryUnknown });
     assert!(matches!(&outputs[1], Output::Dial(request) if request.after == 0), "{outputs:?}");
 }
 
 /// A relay shows a jump of numbers to whoever it gives a snapshot, so event 1 is the source's own.
 #[test]
-fn a_full_list_at_the_beginning_of_the_history_is_no_snapshot() {
+fn a_full_list_at_the_beginning_of_the_history_is_not_a_snapshot() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 1), 0);
-    rig.dialled();
+    rig.expect_dial();
     let list = EventMetadata { is_full_list: true, ..received(1) };
-    assert_eq!(rig.give(Input::Event(list)), [Output::Apply(1)]);
-    rig.give(Input::Disconnected);
-    let (_, request) = rig.dialled();
+    assert_eq!(rig.input(Input::Event(list)), [Output::Apply(1)]);
+    rig.input(Input::Disconnected);
+    let (_, request) = rig.expect_dial();
     assert_eq!((request.after, request.if_match), (1, Some(1001)), "its history is known by it");
     // One that knows of events by other means has no history to begin with.
     let mut rig = Rig::new(settings(SourceKind::Relay, 1), 0);
-    rig.dialled();
+    rig.expect_dial();
     rig.subscriber.advance(3);
-    assert_eq!(rig.give(Input::Event(list)), [missing(0, 1), Output::Apply(1)]);
+    assert_eq!(rig.input(Input::Event(list)), [events_missing(0, 1), Output::Apply(1)]);
 }
 
 #[test]
 fn the_name_of_a_subscriber_is_sent_where_a_header_can_hold_it() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 1), 0);
-    let (_, request) = rig.dialled();
+    let (_, request) = rig.expect_dial();
     let unnamed = request.to_http(None);
     assert!(!unnamed.contains("User-Agent"), "{unnamed}");
     let named = request.to_http(Some("gateway 7"));
@@ -300,109 +304,109 @@
 }
 
 #[test]
-fn an_unreadable_event_behind_a_snapshot_is_passed_over_in_the_end() {
+fn an_unreadable_event_after_a_snapshot_is_eventually_skipped() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 1), 0);
     let snapshot = Input::Event(EventMetadata { is_full_list: true, ..received(5) });
     let unreadable = Input::Event(EventMetadata { number: None, digest: None, is_full_list: false });
-    rig.dialled();
-    rig.give(snapshot);
-    assert_eq!(rig.give(unreadable)[0], Output::Close(LeaveReason::EventUnreadable));
+    rig.expect_dial();
+    rig.input(snapshot);
+    assert_eq!(rig.input(unreadable)[0], Output::Close(LeaveReason::EventUnreadable));
     rig.now = rig.subscriber.next_due().expect("a dial");
     assert_eq!(
-        rig.give(Input::Tick)[0],
+        rig.input(Input::Tick)[0],
         Output::Gap { after: 5, reason: GapReason::HistoryUnknown },
         "it begins anew"
     );
-    rig.give(snapshot);
-    assert_eq!(rig.give(unreadable), [Output::Skip]);
+    rig.input(snapshot);
+    assert_eq!(rig.input(unreadable), [Output::Skip]);
 }
 
 /// E1, E2: the events behind the known one do not identify the history, so the snapshot may be of another history.
 #[test]
 fn a_snapshot_at_the_cursor_is_a_gap_if_it_is_past_what_was_requested() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 2), 0);
-    rig.dialled();
+    rig.expect_dial();
     (1..=5).for_each(|number| drop(rig.event(number)));
     for number in 6..=8 {
-        rig.give(Input::Event(EventMetadata { digest: None, ..received(number) }));
+        rig.input(Input::Event(EventMetadata { digest: None, ..received(number) }));
     }
-    rig.give(Input::Disconnected);
-    assert_eq!(rig.dialled().1.after, 5);
+    rig.input(Input::Disconnected);
+    assert_eq!(rig.expect_dial().1.after, 5);
     let snapshot = EventMetadata { is_full_list: true, ..received(8) };
-    let expected = [missing(7, 8), Output::Apply(8)];
-    assert_eq!(rig.give(Input::Event(snapshot)), expected);
+    let expected = [events_missing(7, 8), Output::Apply(8)];
+    assert_eq!(rig.input(Input::Event(snapshot)), expected);
     assert_eq!(rig.event(9), [Output::Apply(9)]);
     // The first of a page may be a list from before the cursor, and is no snapshot.
-    rig.give(Input::Disconnected);
-    rig.dialled();
+    rig.input(Input::Disconnected);
+    rig.expect_dial();
     let first_of_page = EventMetadata { is_full_list: true, ..received(1) };
-    assert_eq!(rig.give(Input::Event(first_of_page)), []);
+    assert_eq!(rig.input(Input::Event(first_of_page)), []);
 }
 
 #[test]
-fn a_plain_source_repeats_the_event_of_the_cursor_or_is_another() {
+fn a_plain_source_must_resend_the_event_at_the_cursor() {
     let verified =
         SubscriberSettings { verify: true, restart_history: false, ..settings(SourceKind::Plain, 1) };
     let mut rig = Rig::new(verified, 0);
-    rig.dialled();
+    rig.expect_dial();
     rig.event(1);
     rig.event(2);
-    rig.give(Input::Disconnected);
-    assert_eq!(rig.dialled().1.after, 1);
-    assert_eq!(rig.give(Input::BytesReceived), [], "it may be another one");
+    rig.input(Input::Disconnected);
+    assert_eq!(rig.expect_dial().1.after, 1);
+    assert_eq!(rig.input(Input::BytesReceived), [], "it may be another one");
     assert_eq!(rig.event(2), []);
     assert_eq!(rig.event(3), [Output::Apply(3)]);
-    rig.give(Input::Disconnected);
-    rig.dialled();
+    rig.input(Input::Disconnected);
+    rig.expect_dial();
     let other = EventMetadata { digest: Some(9), ..received(3) };
     let left = [Output::Close(LeaveReason::OtherHistory), Output::Disconnected];
-    assert_eq!(rig.give(Input::Event(other)), left);
-    rig.dialled();
+    assert_eq!(rig.input(Input::Event(other)), left);
+    rig.expect_dial();
     // One that only has comments has not even that event.
     rig.now += 2 * SECOND;
-    rig.give(Input::BytesReceived);
+    rig.input(Input::BytesReceived);
     rig.now += 2 * SECOND;
-    rig.give(Input::BytesReceived);
+    rig.input(Input::BytesReceived);
     assert!(!rig.subscriber.caught_up());
     rig.now += SECOND;
-    assert_eq!(rig.give(Input::Tick), [Output::Close(LeaveReason::Behind), Output::Disconnected]);
+    assert_eq!(rig.input(Input::Tick), [Output::Close(LeaveReason::Behind), Output::Disconnected]);
 }
 
 #[test]
-fn lag_counts_from_the_time_that_the_heartbeat_names() {
+fn lag_is_measured_from_the_heartbeat_time() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 1), 0);
     rig.now = at(50_000_000);
-    rig.dialled();
-    rig.give(Input::BytesReceived);
-    assert_eq!(rig.give(Input::Comment(" hello")), []);
+    rig.expect_dial();
+    rig.input(Input::BytesReceived);
+    assert_eq!(rig.input(Input::Comment(" hello")), []);
     assert_eq!((rig.subscriber.lag(rig.now), rig.subscriber.caught_up()), (None, false));
-    assert_eq!(rig.give(Input::Comment(" heard 49500")), [Output::SourceAlive(at(49_500_000))]);
+    assert_eq!(rig.input(Input::Comment(" heard 49500")), [Output::SourceAlive(at(49_500_000))]);
     assert_eq!(rig.subscriber.lag(rig.now), Some(SECOND / 2));
     assert_eq!(
-        rig.give(Input::Comment("heard 99000")),
+        rig.input(Input::Comment("heard 99000")),
         [Output::SourceAlive(rig.now)],
         "a clock that is ahead"
     );
-    rig.give(Input::Disconnected);
+    rig.input(Input::Disconnected);
     rig.now += 3 * SECOND;
     assert_eq!((rig.subscriber.lag(rig.now), rig.subscriber.caught_up()), (Some(3 * SECOND), false));
 }
 
 /// The own Unix clock is an hour slow: the lag that comes up after the first heartbeat is seen nevertheless.
 #[test]
-fn lag_grows_under_a_clock_that_is_slow_and_a_step_of_it_changes_nothing() {
+fn lag_grows_with_a_local_clock_that_is_an_hour_slow() {
     const HOUR: u64 = 3_600_000_000;
     const MICROS_PER_SECOND: u64 = 1_000_000;
     let mut rig = Rig::new(settings(SourceKind::Relay, 1), 0);
     rig.now = at(50_000_000);
     let unix = UnixMicros::from_micros(2 * HOUR);
     rig.subscriber.set_anchor(Anchor { monotonic: rig.now, unix });
-    rig.dialled();
-    rig.give(Input::BytesReceived);
+    rig.expect_dial();
+    rig.input(Input::BytesReceived);
     let heartbeat = |seconds: u64| format!("heard {}", (3 * HOUR / MICROS_PER_SECOND + seconds) * 1000);
-    assert_eq!(rig.give(Input::Comment(&heartbeat(0))), [Output::SourceAlive(rig.now)]);
+    assert_eq!(rig.input(Input::Comment(&heartbeat(0))), [Output::SourceAlive(rig.now)]);
     rig.now += 4 * SECOND;
-    assert_eq!(rig.give(Input::Comment(&heartbeat(1))), [Output::SourceAlive(rig.now - 3 * SECOND)]);
+    assert_eq!(rig.input(Input::Comment(&heartbeat(1))), [Output::SourceAlive(rig.now - 3 * SECOND)]);
     assert_eq!(rig.subscriber.lag(rig.now), Some(3 * SECOND));
     assert_eq!(
         rig.subscriber.source_alive_unix(),
@@ -412,7 +416,7 @@
 
 /// A source as the harness of the random histories plays it.
 #[derive(Debug, Clone)]
-struct Origin {
+struct TestSource {
     /// Which history it has: digests differ between them.
     history: u64,
     first: EventNumber,
@@ -425,8 +429,8 @@
     Skip,
     Unreadable,
     Heartbeat,
-    Lose,
-    Garble,
+    Disconnect,
+    Malformed,
     Grow { source: usize, events: u64 },
     Forget { source: usize, events: u64 },
     Replace { source: usize },
@@ -439,8 +443,8 @@
         1 => Just(Step::Skip),
         1 => Just(Step::Unreadable),
         2 => Just(Step::Heartbeat),
-        1 => Just(Step::Lose),
-        1 => Just(Step::Garble),
+        1 => Just(Step::Disconnect),
+        1 => Just(Step::Malformed),
         4 => (0..3usize, 1..6u64).prop_map(|(source, events)| Step::Grow { source, events }),
         1 => (0..3usize, 1..20u64).prop_map(|(source, events)| Step::Forget { source, events }),
         1 => (0..3usize).prop_map(|source| Step::Replace { source }),
@@ -452,28 +456,28 @@
 /// The harness: sources, the connection of the subscriber, and the naive record of what it did.
 struct World {
     rig: Rig,
-    origins: Vec<Origin>,
+    sources: Vec<TestSource>,
     connected: Option<usize>,
     /// What the connection sends next.
     queue: Vec<EventMetadata>,
     next: EventNumber,
     /// By number, whether it was applied (or else reported missing); begun anew with each history.
-    accounted: Vec<bool>,
+    applied: Vec<bool>,
     /// The history of the last event applied, if it is known by more than a snapshot, and no gap came since.
     history: Option<u64>,
 }
 
 impl World {
     fn event(&self, source: usize, number: EventNumber) -> EventMetadata {
-        let digest = self.origins[source].history << 32 | number;
+        let digest = self.sources[source].history << 32 | number;
         EventMetadata { number: Some(number), digest: Some(digest), is_full_list: false }
     }
 
-    fn carry_out(&mut self, handed: Option<EventMetadata>) {
+    fn carry_out(&mut self, input_event: Option<EventMetadata>) {
         for output in std::mem::take(&mut self.rig.out) {
             match output {
                 Output::Dial(subscription) => {
-                    assert_eq!(self.rig.subscriber.cursor(), self.accounted.len() as u64);
+                    assert_eq!(self.rig.subscriber.cursor(), self.applied.len() as u64);
                     self.answer(&subscription);
                 }
                 Output::Close(_) | Output::Disconnected => {
@@ -482,40 +486,41 @@
                 }
                 Output::SourceAlive(_) => {}
                 Output::Gap { after, reason } => {
-                    assert_eq!(after, self.accounted.len() as u64, "a gap begins where the last event was");
+                    assert_eq!(after, self.applied.len() as u64, "a gap begins where the last event was");
                     match reason {
-                        GapReason::EventsMissing { next } => self.accounted.resize(next as usize - 1, false),
-                        GapReason::OtherHistory | GapReason::HistoryUnknown => self.accounted.clear(),
+                        GapReason::EventsMissing { next } => self.applied.resize(next as usize - 1, false),
+                        GapReason::OtherHistory | GapReason::HistoryUnknown => self.applied.clear(),
                     }
                     self.history = None;
                 }
                 Output::Apply(number) => {
-                    let handed = handed.expect("an event was handed in");
-                    assert_eq!(handed.number, Some(number));
-                    assert_eq!(self.accounted.len() as u64 + 1, number, "in order, once, without a hole");
-                    self.accounted.push(true);
-                    let history = handed.digest.map(|digest| digest >> 32).filter(|_| !handed.is_full_list);
+                    let input_event = input_event.expect("an event was handed in");
+                    assert_eq!(input_event.number, Some(number));
+                    assert_eq!(self.applied.len() as u64 + 1, number, "in order, once, without a hole");
+                    self.applied.push(true);
+                    let history =
+                        input_event.digest.map(|digest| digest >> 32).filter(|_| !input_event.is_full_list);
                     let same = self.history.is_none() || self.history == history;
                     assert!(same, "without a gap, an event follows one of the same history");
                     self.history = history;
                 }
-                Output::Skip => assert_eq!(handed.map(|handed| handed.number), Some(None)),
+                Output::Skip => assert_eq!(input_event.map(|input_event| input_event.number), Some(None)),
             }
         }
-        assert_eq!(self.rig.subscriber.cursor(), self.accounted.len() as u64);
+        assert_eq!(self.rig.subscriber.cursor(), self.applied.len() as u64);
     }
 
     /// Answers as a relay does.
     fn answer(&mut self, request: &Subscription) {
         let source = usize::from(request.source.port());
-        let origin = self.origins[source].clone();
-        let known = self.event(source, request.after).digest;
-        let differs = request.if_match.is_some_and(|digest| Some(digest) != known);
+        let test_source = self.sources[source].clone();
+        let expected_digest = self.event(source, request.after).digest;
+        let differs = request.if_match.is_some_and(|digest| Some(digest) != expected_digest);
         // A log has the digest of the event before its first.
-        let inside = (origin.first - 1..=origin.last).contains(&request.after);
-        let status = if request.after > origin.last {
+        let in_log = (test_source.first - 1..=test_source.last).contains(&request.after);
+        let status = if request.after > test_source.last {
             503
-        } else if differs && inside {
+        } else if differs && in_log {
             412
         } else {
             200
@@ -525,25 +530,25 @@
             return;
         }
         self.connected = Some(source);
-        if request.after + 1 < origin.first {
-            let snapshot = EventMetadata { is_full_list: true, ..self.event(source, origin.last) };
+        if request.after + 1 < test_source.first {
+            let snapshot = EventMetadata { is_full_list: true, ..self.event(source, test_source.last) };
             self.queue = vec![snapshot];
-            self.next = origin.last + 1;
+            self.next = test_source.last + 1;
         } else {
             self.next = request.after + 1;
         }
     }
 
-    fn step(&mut self, input: Input<'_>, handed: Option<EventMetadata>) {
+    fn step(&mut self, input: Input<'_>, input_event: Option<EventMetadata>) {
         self.rig.subscriber.handle(self.rig.now, input, &mut self.rig.out);
-        self.carry_out(handed);
+        self.carry_out(input_event);
     }
 
     fn deliver(&mut self) {
         let Some(source) = self.connected else { return };
         let event = match self.queue.pop() {
             Some(event) => event,
-            None if self.next <= self.origins[source].last => {
+            None if self.next <= self.sources[source].last => {
                 self.next += 1;
                 self.event(source, self.next - 1)
             }
@@ -562,17 +567,17 @@
                 self.step(Input::Event(event), Some(event));
             }
             Step::Heartbeat if self.connected.is_some() => self.step(Input::Comment("heard 1"), None),
-            Step::Lose if self.connected.take().is_some() => self.step(Input::Disconnected, None),
-            Step::Garble if self.connected.is_some() => self.step(Input::Malformed, None),
-            Step::Unreadable | Step::Heartbeat | Step::Lose | Step::Garble => {}
-            Step::Grow { source, events } => self.origins[source].last += events,
+            Step::Disconnect if self.connected.take().is_some() => self.step(Input::Disconnected, None),
+            Step::Malformed if self.connected.is_some() => self.step(Input::Malformed, None),
+            Step::Unreadable | Step::Heartbeat | Step::Disconnect | Step::Malformed => {}
+            Step::Grow { source, events } => self.sources[source].last += events,
             Step::Forget { source, events } => {
-                let origin = &mut self.origins[source];
-                origin.first = (origin.first + events).min(origin.last);
+                let test_source = &mut self.sources[source];
+                test_source.first = (test_source.first + events).min(test_source.last);
             }
             Step::Replace { source } => {
-                self.origins[source] =
-                    Origin { history: self.origins[source].history + 1, first: 1, last: 1 };
+                self.sources[source] =
+                    TestSource { history: self.sources[source].history + 1, first: 1, last: 1 };
                 if self.connected == Some(source) {
                     self.connected = None;
                     self.step(Input::Disconnected, None);
@@ -599,21 +604,21 @@
         let sources = shuffled((0..3).map(address).collect(), seed);
         let settings = SubscriberSettings { sources, ..settings(SourceKind::Relay, 3) };
         let rig = Rig { now: START, subscriber: Subscriber::new(START, settings, 0, seed), out: Vec::new() };
-        let origins = vec![Origin { history: 1, first: 1, last: 3 }; 3];
+        let sources = vec![TestSource { history: 1, first: 1, last: 3 }; 3];
         let mut world = World {
             rig,
-            origins,
+            sources,
             connected: None,
             queue: Vec::new(),
             next: 1,
-            accounted: Vec::new(),
+            applied: Vec::new(),
             history: None,
         };
         steps.iter().for_each(|step| world.play(step));
         // Once all sources are well, it catches up.
-        let last = world.origins.iter().map(|origin| origin.last).max().unwrap_or(0).max(world.rig.subscriber.cursor());
-        world.origins = vec![Origin { history: 99, first: 1, last }; 3];
-        world.play(&Step::Lose);
+        let last = world.sources.iter().map(|test_source| test_source.last).max().unwrap_or(0).max(world.rig.subscriber.cursor());
+        world.sources = vec![TestSource { history: 99, first: 1, last }; 3];
+        world.play(&Step::Disconnect);
         for _ in 0..60 {
             world.wait(SECOND);
             (0..last + 1).for_each(|_| world.deliver());
--- a/crates/distribution/tests/subscriber_and_relays.rs
+++ b/crates/distribution/tests/subscriber_and_relays.rs
@@ -119,11 +119,11 @@
             view: View::default(),
             text: String::new(),
         };
-        world.begin();
+        world.start_history();
         world
     }
 
-    fn begin(&mut self) {
+    fn start_history(&mut self) {
         self.events.clear();
         self.source = EventLog::new(LogLimits { events: 1 << 20, bytes: 1 << 30 });
         let store = store_json(self.history * HISTORY_OFFSET, "up");
@@ -135,7 +135,7 @@
         self.events.push(event);
     }
 
-    fn next(&self) -> EventNumber {
+    fn next_number(&self) -> EventNumber {
         self.events.len() as EventNumber + 1
     }
 
@@ -145,22 +145,22 @@
 
     fn input(&mut self, relay: usize, input: Input) {
         let out = self.relays[relay].input(input);
-        self.note(relay, out);
+        self.handle_outputs(relay, out);
     }
 
-    fn note(&mut self, relay: usize, out: Vec<Output>) {
+    fn handle_outputs(&mut self, relay: usize, out: Vec<Output>) {
         for output in out {
             let Some((connected, id, accepted)) = &mut self.connection else { return };
             if *connected != relay {
                 return;
             }
             match output {
-                Output::Accept(who) if who == *id => *accepted = true,
-                Output::Disconnect { id: who, .. } if who == *id => {
+                Output::Accept(output_id) if output_id == *id => *accepted = true,
+                Output::Disconnect { id: output_id, .. } if output_id == *id => {
                     self.connection = None;
                     self.feed_subscriber(subscriber::Input::Disconnected);
                 }
-                Output::Reject { id: who, reason, retry_after } if who == *id => {
+                Output::Reject { id: output_id, reason, retry_after } if output_id == *id => {
                     self.connection = None;
                     let input = subscriber::Input::Refused {
                         status: reason.status(),
@@ -182,7 +182,7 @@
         for output in out {
             match output {
                 subscriber::Output::Dial(subscription) => self.dial(subscription),
-                subscriber::Output::Close(_) => self.hang_up(),
+                subscriber::Output::Close(_) => self.close_connection(),
                 subscriber::Output::Gap { reason, .. } => {
                     let next = match reason {
                         GapReason::EventsMissing { next } => Some(next),
@@ -200,7 +200,7 @@
         apply
     }
 
-    fn hang_up(&mut self) {
+    fn close_connection(&mut self) {
         self.text.clear();
         if let Some((relay, id, _)) = self.connection.take() {
             self.input(relay, Input::SubscriberDisconnected(id));
@@ -208,7 +208,7 @@
     }
 
     fn dial(&mut self, subscription: Subscription) {
-        self.hang_up();
+        self.close_connection();
         let relay = usize::from(subscription.source.port() - 4000);
         let id = self.next_id;
         self.next_id += 1;
@@ -238,12 +238,12 @@
                 if self.connection.map(|(_, connected, _)| connected) != Some(id) {
                     return;
                 }
-                self.take(received);
+                self.handle_item(received);
             }
         }
     }
 
-    fn take(&mut self, received: StreamItem) {
+    fn handle_item(&mut self, received: StreamItem) {
         match received {
             StreamItem::Heartbeat { source_alive_ms } => {
                 let comment = format!(" heard {source_alive_ms}");
@@ -287,7 +287,7 @@
             }
         }
         let event = |number| self.event(number, compacted);
-        let inputs = next_inputs(&self.relays[relay], events, self.next() - 1, event);
+        let inputs = next_inputs(&self.relays[relay], events, self.next_number() - 1, event);
         inputs.into_iter().for_each(|input| self.input(relay, input));
     }
 
@@ -302,7 +302,7 @@
     }
 
     fn feed_snapshot(&mut self, relay: usize) {
-        let last = self.next() - 1;
+        let last = self.next_number() - 1;
         let next = self.relays[relay].relay.log().last() + 1;
         if last <= next || self.relay_history[relay] != self.history {
             return;
@@ -311,22 +311,22 @@
         self.feed(relay, 1, false);
     }
 
-    fn pass(&mut self, milliseconds: u64) {
+    fn advance(&mut self, milliseconds: u64) {
         for relay in 0..RELAYS {
-            let out = self.relays[relay].pass(Duration::from_millis(milliseconds));
-            self.note(relay, out);
+            let out = self.relays[relay].advance(Duration::from_millis(milliseconds));
+            self.handle_outputs(relay, out);
         }
     }
 
     fn run(&mut self, step: &Step) {
-        let number = self.next();
+        let number = self.next_number();
         let offset = self.history * HISTORY_OFFSET;
         match step {
             Step::Purge(object) => self.append(purge(number, offset + object)),
             Step::Store(store) => self.append(list(number, false, &[store_json(offset + store, "up")])),
             Step::RestartSource => {
                 self.history += 1;
-                self.begin();
+                self.start_history();
                 for relay in 0..RELAYS {
                     self.input(relay, Input::UpstreamDisconnected);
                 }
@@ -339,13 +339,13 @@
             }
             Step::CutSubscriber => self.cut_subscriber(),
             Step::Pull { chunks } => self.pull(*chunks),
-            Step::Pass { milliseconds } => self.pass(*milliseconds),
+            Step::Pass { milliseconds } => self.advance(*milliseconds),
         }
     }
 
     fn cut_subscriber(&mut self) {
         if self.connection.is_some() {
-            self.hang_up();
+            self.close_connection();
             self.feed_subscriber(subscriber::Input::Disconnected);
         }
     }
@@ -363,12 +363,12 @@
     fn settle(&mut self) {
         let offset = self.history * HISTORY_OFFSET;
         for _ in 0..60 {
-            let number = self.next();
+            let number = self.next_number();
             self.append(purge(number, offset + number % 4));
             for relay in 0..RELAYS {
                 self.feed(relay, u64::MAX >> 1, false);
             }
-            self.pass(1500);
+            self.advance(1500);
             self.feed_subscriber(subscriber::Input::Tick);
             self.pull(usize::MAX);
         }
@@ -390,7 +390,7 @@
         world.connection
     );
     world.feed(0, 1, false);
-    world.pass(200);
+    world.advance(200);
     world.pull(usize::MAX);
     assert_eq!((world.view.cursor, world.subscriber.gaps()), (1, 0));
     // The leaf's own log, with what its subscriber applied.
@@ -406,7 +406,7 @@
     #![proptest_config(ProptestConfig { cases: 400, max_shrink_iters: 20_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_subscriber_ends_with_the_naive_state_or_a_floor(
+    fn the_subscriber_ends_with_the_expected_state_or_a_floor(
         steps in prop::collection::vec(step(), 1..150),
         events in 3..40_usize,
     ) {
@@ -416,13 +416,13 @@
         }
         world.settle();
         let view = &world.view;
-        prop_assert_eq!(view.cursor, world.next() - 1, "caught up: {:?}", view);
-        let mut last = BTreeMap::new();
+        prop_assert_eq!(view.cursor, world.next_number() - 1, "caught up: {:?}", view);
+        let mut last_purges = BTreeMap::new();
         for event in world.events.iter().filter(|event| event.issued.is_some()) {
             let value: serde_json::Value = serde_json::from_str(&event.data).expect("JSON");
-            last.insert(value["recall"]["item"].as_str().expect("item").to_string(), event.number);
+            last_purges.insert(value["recall"]["item"].as_str().expect("item").to_string(), event.number);
         }
-        for (item, number) in &last {
+        for (item, number) in &last_purges {
             let covered = view.purged.get(item) == Some(number) || view.floor >= *number;
             prop_assert!(covered, "E1: purge {} of {}: {:?}", number, item, view);
         }
