--- a/crates/distribution/tests/relay_return.rs
+++ b/crates/distribution/tests/relay_return.rs
@@ -1,7 +1,7 @@
-//! Purges and documents were answered as done while a gateway had not got them. A leaf relay is killed, and its gateways
-//! turn to the other leaf. One of them applies what it gets there, but is cut off before it has reported its position.
-//! When the killed leaf is back, its first report took the place of the one that it had lost, and the gateway was in
-//! neither: the root counted seven of eight, all up to date.
+//! Purges and documents were answered as done while a gateway had not got them. A leaf relay is killed, and its
+//! gateways turn to the other leaf. One of them applies what it gets there, but is cut off before it has reported its
+//! position. When the killed leaf is back, its first report took the place of the one that it had lost, and the gateway
+//! was in neither: the root counted seven of eight, all up to date.
 //!
 //! ```text
 //! {"done":true,"event":4,"gateways":7,"kept_by":[],"lost":0}
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_gateway_that_never_reports_again_is_forgotten_after_the_retention() {
+fn a_gateway_that_never_reports_again_expires_after_the_retention_time() {
     let mut root = root_that_has_lost_a_leaf();
     root.report(at(3), 2, Some("leaf-1"), report_of(&[("g1", 3), ("g2", 3), ("g3", 3)]));
     root.report(at(4), 3, Some("leaf-0"), report_of(&[]));
