--- a/gateway/src/clock/mod.rs
+++ b/gateway/src/clock/mod.rs
@@ -18,8 +18,8 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// How far the clock of a process may be ahead of that of the earlier process and still count as the same: the time
-/// that a message between them and the two readings take.
+/// Most that the clock of a process may be ahead of that of the earlier process without being adjusted to it: the
+/// time that a message between the two and the readings take.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
 /// The lowest time of the monotonic clock: one year, so that code can subtract durations from the current time.
 const MIN_MONOTONIC: MonotonicTime = MonotonicTime::from_micros(365 * 24 * 3600 * MICROS_PER_SECOND);
--- a/gateway/src/clock/start_dates.rs
+++ b/gateway/src/clock/start_dates.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tracing::info;
 
-/// How far two sources may differ about the start of one process.
+/// Most that two sources may differ about the start of one process.
 const START_TOLERANCE: Duration = Duration::from_secs(1);
 /// Most starts that are remembered; beyond that the earliest one is dropped.
 const MAX_STARTS: usize = 20_000;
--- a/gateway/src/clock/wire/clock_error.rs
+++ b/gateway/src/clock/wire/clock_error.rs
@@ -8,7 +8,8 @@
 pub(super) struct ClockError {
     /// The smallest lag of a reported time behind the own clock when it was reported; none before the first.
     min_lag: Option<Duration>,
-    /// How far the own clock is known to be slow: the most by which a time of the event source was ahead of it.
+    /// The amount by which the own clock is known to be slow: the most by which a time of the event source was ahead
+    /// of it.
     slow_by: Duration,
 }
 
--- a/gateway/src/clock/wire/mod.rs
+++ b/gateway/src/clock/wire/mod.rs
@@ -18,14 +18,14 @@
 use std::time::Duration;
 use store_starts::StoreStarts;
 
-/// How far two clocks may differ and still count as equal: a reported time up to this far in the future counts as the
-/// present.
+/// Most that two clocks may differ and still count as equal: a reported time up to this far in the future counts as
+/// the present.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// When the origin issued a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CopyTimes {
-    /// As reported, to be compared only with the reported issue times of purges.
+    /// The reported time, to be compared only with the reported issue times of purges.
     pub issued: MonotonicTime,
     /// On the gateway's own clock; the age of the copy is computed from this time.
     pub issued_local: MonotonicTime,
--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -19,7 +19,7 @@
 pub struct Attempt {
     /// The request that it belongs to.
     pub(super) request: Key,
-    /// Its number among the attempts of that request.
+    /// The index of this attempt among the attempts of that request.
     pub(super) number: u64,
     /// The decision of the module: the store, the source and the conditions.
     pub(super) get: Get,
@@ -29,7 +29,7 @@
     pub(super) first_byte_at: Option<MonotonicTime>,
     /// The connection that carries it; none while it waits for one.
     pub connection: Option<Key>,
-    /// Whether it was moved once from a broken connection to another one.
+    /// Whether the attempt was moved once from a broken connection to another one.
     pub(super) reconnected: bool,
     /// The fetch from the origin that the shield has admitted for it, if it needs one.
     pub(super) fetch: Option<OriginFetch>,
--- a/gateway/src/core/endpoints.rs
+++ b/gateway/src/core/endpoints.rs
@@ -11,11 +11,11 @@
 use larchway_endpoints::{Endpoint, ListScope};
 use tracing::info;
 
-/// A listed store.
+/// A store in the endpoint list.
 pub(super) struct ListedStore {
-    /// Its name.
+    /// The name of the store.
     pub(super) name: String,
-    /// Its state in the list.
+    /// The state of the store in the list.
     pub(super) state: State,
 }
 
--- a/gateway/src/core/messages.rs
+++ b/gateway/src/core/messages.rs
@@ -4,7 +4,7 @@
 use larchway_object_cache::CacheHit;
 use std::time::Duration;
 
-/// Where the reply to a request goes: a client's connection and the number of the request on it.
+/// The address of the reply to a request: a client's connection and the number of the request on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplyHandle {
     /// The client's connection.
@@ -28,7 +28,7 @@
     pub part: u64,
     /// The group of objects that a purge may name.
     pub group: u64,
-    /// How long the client waits, counted from when it sent the request.
+    /// The timeout of the client, counted from when it sent the request.
     pub timeout: Duration,
     /// The idempotency key, if the request carries one.
     pub idempotency_key: Option<String>,
@@ -99,14 +99,15 @@
     ReplyFailed(ReplyHandle, FailureCause),
 }
 
-/// How an attempt ended, and what its store reported with its reply.
+/// The result of an attempt, and what its store reported with the reply.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptResult {
-    /// Whether and how the store answered.
+    /// Whether the store replied, and with success or which failure.
     pub status: Status,
-    /// Where the reply came from.
+    /// Where the store got the reply from, such as its cache or a fill.
     pub note: Note,
-    /// How long the store waited for the source of the reply, as it reported; zero if it did not.
+    /// The time that the store waited for the source of the reply, as the store reported it; zero if it reported
+    /// none.
     pub source_wait: Duration,
     /// The values of the store's load report, in the order of the names in the settings; empty if it reported none.
     pub load: Vec<f64>,
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -67,7 +67,7 @@
     actions: Vec<Action>,
     /// The object cache, if one is configured.
     pub object_cache: Option<ObjectCache>,
-    /// How long after a purge a store may still serve a purged copy.
+    /// The time after a purge during which a store may still serve a purged copy.
     purge_window: Duration,
     /// Whether a complete list of stores was received.
     pub has_endpoints: bool,
@@ -83,7 +83,7 @@
     pub load_field: Option<usize>,
     /// The reported load values; the event loop takes them out.
     pub load_reports: Vec<LoadReport>,
-    /// What ended attempts showed of the health of their stores, if it is collected; emptied after each event.
+    /// Evidence of stores' health from ended attempts, if it is collected; emptied after each event.
     pub evidence: Option<Vec<EndpointEvidence>>,
 }
 
--- a/gateway/src/core/origin.rs
+++ b/gateway/src/core/origin.rs
@@ -31,7 +31,7 @@
 
 /// The shield's decision on the fetch that an attempt needs.
 pub(super) enum FetchAdmission {
-    /// The attempt needs no fetch from the origin of its own, or joins one in flight.
+    /// The attempt needs no fetch from the origin, or joins one in flight.
     NotNeeded,
     /// The fetch is admitted.
     Admitted(OriginFetch),
@@ -42,11 +42,11 @@
 /// The end of an attempt, as far as the fill that it needed is concerned.
 #[derive(Clone, Copy)]
 pub(super) struct FillResult {
-    /// How the attempt ended.
+    /// The status with which the attempt ended.
     pub(super) status: Status,
-    /// Where the reply came from.
+    /// Where the store got the reply from, such as its cache or a fill.
     pub(super) note: Note,
-    /// How long the fill took.
+    /// The duration of the fill.
     pub(super) time: Duration,
 }
 
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -22,19 +22,19 @@
 
 /// A request that has not ended.
 pub(super) struct OpenRequest {
-    /// Where its reply goes.
+    /// The connection and the number to which the reply is sent.
     pub(super) reply_to: ReplyHandle,
-    /// What the client asked for.
+    /// The request of the client.
     pub(super) request: Request,
-    /// When its final reply is due.
+    /// When the final reply must be sent.
     pub(super) deadline: MonotonicTime,
-    /// Its attempts by number; those that have ended are no longer in the table of attempts.
+    /// The attempts by number; those that have ended are no longer in the table of attempts.
     pub(super) attempts: Vec<Key>,
-    /// How many of its attempts have not ended.
+    /// The number of attempts that have not ended.
     pub(super) running_attempts: usize,
-    /// Whether its final reply was sent.
+    /// Whether the final reply was sent.
     pub(super) answered: bool,
-    /// Whether its deadline was shortened because the process ends.
+    /// Whether the deadline was shortened because the process ends.
     pub(super) ends_with_process: bool,
     /// When the first byte was written of the earliest ended attempt that may have run.
     pub(super) first_possible_run_at: Option<MonotonicTime>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Its state for the decision module.
+    /// The state of the request for the decision module.
     pub(super) fn state(&self) -> RequestState {
         if self.answered {
             RequestState::Closed
@@ -65,7 +65,7 @@
     }
 }
 
-/// How long the gateway may take for a request with this timeout of the client.
+/// The time that the gateway may take for a request with this client timeout.
 fn time_to_answer(timeout: Duration) -> Duration {
     let share = Duration::from_micros(duration_micros(timeout) / REPLY_MARGIN_DIVISOR);
     let margin = share.clamp(SHORTEST_REPLY_MARGIN, LONGEST_REPLY_MARGIN);
@@ -88,12 +88,12 @@
         self.count_ended(class, RequestEnd::Rejected);
     }
 
-    /// How many requests have not ended, including answered ones with running attempts.
+    /// The number of requests that have not ended, including answered ones with running attempts.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// How many requests wait for their final reply.
+    /// The number of requests that wait for their final reply.
     pub fn unanswered_requests(&self) -> usize {
         self.requests.iter().filter(|(_, open)| !open.answered).count()
     }
--- a/gateway/src/core/store_request.rs
+++ b/gateway/src/core/store_request.rs
@@ -13,7 +13,7 @@
     pub request: &'a Request,
     /// The name of the store to fill from, if it is not the store itself.
     pub source: Option<&'a str>,
-    /// How long the gateway will wait, in milliseconds.
+    /// The time that the gateway will wait for the reply, in milliseconds.
     pub max_wait_ms: u64,
     /// The age of the oldest acceptable copy, in milliseconds; with 0 the fresh time of the class applies.
     pub max_age_ms: u64,
--- a/gateway/src/hierarchy/error.rs
+++ b/gateway/src/hierarchy/error.rs
@@ -13,7 +13,7 @@
     /// The file does not match its schema.
     #[error(transparent)]
     Format(#[from] FormatError),
-    /// Its parents and branches form no valid topology.
+    /// The parents and branches of the file form no valid topology.
     #[error(transparent)]
     Topology(#[from] TopologyError),
     /// The branch that the gateway serves is not defined.
@@ -123,7 +123,7 @@
     /// The topology of the epoch that it is based on is no longer retained.
     #[error(".upon: epoch {0} is no longer retained")]
     EpochExpired(u64),
-    /// Its id is already used by another change.
+    /// The id of the change is already used by another change.
     #[error(".id: {0:?} is already used by another change")]
     IdReused(String),
     /// Too many changes are pending or superseded.
--- a/gateway/src/hierarchy/file.rs
+++ b/gateway/src/hierarchy/file.rs
@@ -62,7 +62,7 @@
     /// platform.
     #[serde(default)]
     pub trails: bool,
-    /// How loops are inferred where requests carry no trail; if absent, they are not inferred.
+    /// The inference of loops where requests carry no trail; if absent, loops are not inferred.
     pub infer: Option<InferFile>,
     /// The shield of the origin; if absent, only the module's own rules limit fills.
     pub shield: Option<ShieldFile>,
--- a/gateway/src/hierarchy/infer_file.rs
+++ b/gateway/src/hierarchy/infer_file.rs
@@ -13,7 +13,7 @@
 /// Accepted times, in milliseconds, for which a suspect parent is excluded.
 const HOLD_MS: RangeInclusive<u64> = 100..=600_000;
 
-/// How loops are inferred.
+/// The inference of loops from the results of fills.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct InferFile {
--- a/gateway/src/hierarchy/mod.rs
+++ b/gateway/src/hierarchy/mod.rs
@@ -121,7 +121,7 @@
         self.file.trails.then(|| OwnHop { name: name.clone(), epoch: self.change_log.epoch() })
     }
 
-    /// How loops are inferred; none if they are not.
+    /// The settings of the loop inference; none if loops are not inferred.
     pub fn loop_inference(&self) -> Option<LoopInferenceSettings> {
         self.file.infer.as_ref().map(InferFile::settings)
     }
--- a/gateway/src/hierarchy/report.rs
+++ b/gateway/src/hierarchy/report.rs
@@ -21,7 +21,7 @@
     pub(super) paused: bool,
     /// Milliseconds until the end of the migration.
     pub(super) ends_in_ms: u64,
-    /// The parents by name.
+    /// The parents of the branch by name.
     pub(super) parents: BTreeMap<String, ParentReport>,
     /// The shield of the origin, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -38,13 +38,13 @@
 /// A parent of the branch.
 #[derive(Serialize)]
 pub(super) struct ParentReport {
-    /// Its current weight.
+    /// The current weight of the parent.
     #[serde(rename = "now")]
     pub(super) current_weight: f64,
-    /// Its weight at the end of the migration.
+    /// The weight of the parent at the end of the migration.
     #[serde(rename = "target")]
     pub(super) target_weight: f64,
-    /// The names of the parents between it and the origin.
+    /// The names of the parents between this one and the origin.
     #[serde(rename = "way")]
     pub(super) upstream_path: Vec<String>,
 }
--- a/gateway/src/hierarchy/shield_file.rs
+++ b/gateway/src/hierarchy/shield_file.rs
@@ -22,7 +22,7 @@
 /// Accepted numbers of objects whose last fetch is remembered.
 const OBJECTS: RangeInclusive<u64> = 1..=1_000_000;
 
-/// How the origin is shielded from fills. The limits apply to all gateways together.
+/// The shield that limits fills from the origin. The limits apply to all gateways together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct ShieldFile {
--- a/gateway/src/membership/client_events.rs
+++ b/gateway/src/membership/client_events.rs
@@ -63,7 +63,7 @@
         match event {
             ClientEvent::SessionEstablished { timeout, fresh, .. } => {
                 let kind = if fresh { "a session" } else { "the session" };
-                info!(timeout_ms = timeout.as_millis(), "{kind} with the ensemble is established");
+                info!(timeout_ms = timeout.as_millis(), "{kind} with the ensemble is granted");
                 self.set_connectivity(now, Connectivity::Connected, effects);
             }
             ClientEvent::Suspended(reason) => {
--- a/gateway/src/membership/effect.rs
+++ b/gateway/src/membership/effect.rs
@@ -22,7 +22,7 @@
     HierarchyChange {
         /// The path of the node.
         node: String,
-        /// Its data.
+        /// The data of the node.
         data: Vec<u8>,
     },
     /// Pass this event of the session to the quota lease.
@@ -31,7 +31,7 @@
     Save {
         /// The file.
         file: DurableFile,
-        /// Its content.
+        /// The new content of the file.
         content: Vec<u8>,
     },
 }
--- a/gateway/src/membership/instance.rs
+++ b/gateway/src/membership/instance.rs
@@ -9,7 +9,7 @@
     pub name: String,
     /// The address on which it listens for clients.
     pub listen: String,
-    /// Its zone, as an index into the zones of the settings.
+    /// The zone of the gateway, as an index into the zones of the settings.
     pub zone: usize,
     /// The path whose children are changes of the hierarchy.
     #[serde(skip)]
--- a/gateway/src/membership/settings.rs
+++ b/gateway/src/membership/settings.rs
@@ -36,7 +36,7 @@
     /// The format of the stores' nodes, and the defaults of what they omit.
     #[serde(default)]
     pub nodes: Defaults,
-    /// How the endpoint list, the nodes and the results of own attempts are merged.
+    /// The policy by which the endpoint list, the nodes and the results of own attempts are merged.
     #[serde(default)]
     pub policy: Policy,
     /// Whether the live gateways of each zone are counted from their nodes, to divide the budgets of stores in slow
@@ -81,7 +81,7 @@
     pub credentials: Vec<Credential>,
     /// The form of the stores' nodes, and the defaults of what they omit.
     pub node_defaults: Defaults,
-    /// How the sources are merged.
+    /// The policy by which the sources are merged.
     pub policy: Policy,
     /// Whether the live gateways of each zone are counted.
     pub counts_gateways: bool,
--- a/gateway/src/state_saver.rs
+++ b/gateway/src/state_saver.rs
@@ -12,7 +12,7 @@
 /// Time after which an operator gets a reply although the effect of the call is not durable: half of the second
 /// within which a reply is due.
 const MAX_REPLY_DELAY: Duration = Duration::from_millis(500);
-/// How long the process waits at its end for files that are not durable yet.
+/// Time for which the process waits at its end for files that are not durable yet.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A manual ejection or restoration that is in force in this process and is being saved.
--- a/gateway/src/upgrade/discovery.rs
+++ b/gateway/src/upgrade/discovery.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// How long a starting process waits for the state of another one; readiness is due within 6 s.
+/// Time for which a starting process waits for the state of another one; readiness is due within 6 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Longest path of a Unix socket on Linux, in bytes.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
