--- a/gateway/src/clock/start_dates.rs
+++ b/gateway/src/clock/start_dates.rs
@@ -23,7 +23,7 @@
     /// The start in the list, converted by the own clock.
     listed: MonotonicTime,
     /// The start that the decision module uses.
-    dated: MonotonicTime,
+    effective: MonotonicTime,
 }
 
 /// The starts of the listed stores, at most 20,000.
@@ -31,7 +31,7 @@
 pub struct StartDates {
     by_server: BTreeMap<ServerId, StartDate>,
     /// The most that the own clock can be fast; none before other machines have reported a time.
-    max_fast: Option<Duration>,
+    max_clock_lead: Option<Duration>,
 }
 
 impl StartDates {
@@ -54,52 +54,52 @@
         let server = entry.host.server;
         let known = self.by_server.get(&server);
         if let Some(known) = known.filter(|known| listed <= known.listed.saturating_add(START_TOLERANCE)) {
-            return known.dated;
+            return known.effective;
         }
         // By a Unix clock that is fast, a store that has just started would be treated as warmed up.
-        let dated = self.earliest(listed).min(now);
-        self.by_server.insert(server, StartDate { listed, dated });
+        let effective = self.earliest(listed).min(now);
+        self.by_server.insert(server, StartDate { listed, effective });
         self.forget_earliest();
-        let age = now.saturating_since(dated);
+        let age = now.saturating_since(effective);
         if age <= LOGGED_AGE {
             let by_own_clock_ms = now.saturating_since(listed).as_millis();
             info!(store = entry.name, age_ms = age.as_millis(), by_own_clock_ms, "a store has started");
         }
-        dated
+        effective
     }
 
     /// The earliest start that can be assumed if the own clock is as fast as it can be.
     fn earliest(&self, listed: MonotonicTime) -> MonotonicTime {
-        listed.saturating_add(self.max_fast.unwrap_or(Duration::MAX))
+        listed.saturating_add(self.max_clock_lead.unwrap_or(Duration::MAX))
     }
 
     fn forget_earliest(&mut self) {
         if self.by_server.len() > MAX_STARTS {
             let earliest =
-                self.by_server.iter().min_by_key(|(_, start)| start.dated).map(|(&server, _)| server);
+                self.by_server.iter().min_by_key(|(_, start)| start.effective).map(|(&server, _)| server);
             earliest.map(|server| self.by_server.remove(&server));
         }
     }
 
     /// Lowers the bound on how fast the own clock can be, and returns the starts that turn out to be earlier. Does
     /// nothing unless the bound is at most half of the previous one, since each change walks through all starts.
-    pub fn lower_max_fast(&mut self, max_fast: Option<Duration>) -> Vec<DatedStart> {
-        let is_lower = match (max_fast, self.max_fast) {
+    pub fn lower_max_clock_lead(&mut self, max_clock_lead: Option<Duration>) -> Vec<DatedStart> {
+        let is_lower_enough = match (max_clock_lead, self.max_clock_lead) {
             (None, _) => false,
             (Some(_), None) => true,
             (Some(new), Some(old)) => new <= old / 2 && new < old,
         };
-        if !is_lower {
+        if !is_lower_enough {
             return Vec::new();
         }
-        self.max_fast = max_fast;
-        let max_fast = max_fast.unwrap_or(Duration::MAX);
+        self.max_clock_lead = max_clock_lead;
+        let max_clock_lead = max_clock_lead.unwrap_or(Duration::MAX);
         let mut earlier = Vec::new();
         for (&server, start) in &mut self.by_server {
-            let dated = start.listed.saturating_add(max_fast);
-            if dated < start.dated {
-                start.dated = dated;
-                earlier.push(DatedStart { server, started: dated });
+            let effective = start.listed.saturating_add(max_clock_lead);
+            if effective < start.effective {
+                start.effective = effective;
+                earlier.push(DatedStart { server, started: effective });
             }
         }
         earlier
@@ -112,8 +112,8 @@
         for other in others {
             let Some(start) = self.by_server.get_mut(&other.server) else { continue };
             let is_same = start.listed <= other.started.saturating_add(START_TOLERANCE);
-            if is_same && other.started < start.dated {
-                start.dated = other.started;
+            if is_same && other.started < start.effective {
+                start.effective = other.started;
                 earlier.push(other);
             }
         }
--- a/gateway/src/clock/start_dates/tests.rs
+++ b/gateway/src/clock/start_dates/tests.rs
@@ -11,7 +11,7 @@
 }
 
 /// The start of a store that results from a change of the list.
-fn date_start(
+fn effective_start(
     dates: &mut StartDates,
     now: MonotonicTime,
     server: ServerId,
@@ -22,9 +22,9 @@
     entries[0].host.started
 }
 
-fn dates_with_max_fast(max_fast: Duration) -> StartDates {
+fn dates_with_max_clock_lead(max_clock_lead: Duration) -> StartDates {
     let mut dates = StartDates::default();
-    dates.lower_max_fast(Some(max_fast));
+    dates.lower_max_clock_lead(Some(max_clock_lead));
     dates
 }
 
@@ -32,55 +32,59 @@
 /// and would get its full load.
 #[test]
 fn no_start_is_dated_earlier_than_the_reports_of_others_allow() {
-    let mut dates = dates_with_max_fast(HOUR + SECOND);
+    let mut dates = dates_with_max_clock_lead(HOUR + SECOND);
     assert_eq!(
-        date_start(&mut dates, NOW, 1, NOW - HOUR - SECOND),
+        effective_start(&mut dates, NOW, 1, NOW - HOUR - SECOND),
         NOW,
         "it is the latest reported time itself"
     );
-    assert_eq!(date_start(&mut dates, NOW, 2, NOW - HOUR - 9 * SECOND), NOW - 8 * SECOND);
-    assert_eq!(date_start(&mut StartDates::default(), NOW, 1, NOW - HOUR), NOW, "nothing was reported");
+    assert_eq!(effective_start(&mut dates, NOW, 2, NOW - HOUR - 9 * SECOND), NOW - 8 * SECOND);
+    assert_eq!(effective_start(&mut StartDates::default(), NOW, 1, NOW - HOUR), NOW, "nothing was reported");
 }
 
 #[test]
 fn a_start_that_is_not_stated_stays_unset() {
     let long_ago = Host::STARTED_LONG_AGO;
-    assert_eq!(date_start(&mut StartDates::default(), NOW, 1, long_ago), long_ago);
+    assert_eq!(effective_start(&mut StartDates::default(), NOW, 1, long_ago), long_ago);
 }
 
 #[test]
 fn a_start_is_dated_once_however_often_it_is_listed() {
-    let mut dates = dates_with_max_fast(HOUR);
+    let mut dates = dates_with_max_clock_lead(HOUR);
     let listed = NOW - HOUR;
-    let first = date_start(&mut dates, NOW, 1, listed);
+    let first = effective_start(&mut dates, NOW, 1, listed);
     for (later, listed) in [(5, listed), (10, listed + SECOND / 2), (15, listed - 600 * SECOND)] {
-        assert_eq!(date_start(&mut dates, NOW + later * SECOND, 1, listed), first, "listed as {listed:?}");
+        assert_eq!(
+            effective_start(&mut dates, NOW + later * SECOND, 1, listed),
+            first,
+            "listed as {listed:?}"
+        );
     }
-    let restarted = date_start(&mut dates, NOW + 20 * SECOND, 1, listed + 19 * SECOND);
+    let restarted = effective_start(&mut dates, NOW + 20 * SECOND, 1, listed + 19 * SECOND);
     assert_eq!(restarted, NOW + 19 * SECOND, "another process of the store");
 }
 
 #[test]
 fn later_reports_show_that_starts_were_earlier() {
-    let mut dates = dates_with_max_fast(HOUR);
-    assert_eq!(date_start(&mut dates, NOW, 1, NOW - HOUR), NOW);
+    let mut dates = dates_with_max_clock_lead(HOUR);
+    assert_eq!(effective_start(&mut dates, NOW, 1, NOW - HOUR), NOW);
     assert_eq!(
-        dates.lower_max_fast(Some(HOUR - SECOND)),
+        dates.lower_max_clock_lead(Some(HOUR - SECOND)),
         Vec::new(),
         "too small a change to walk through all starts"
     );
     let earlier = vec![DatedStart { server: 1, started: NOW - HOUR + SECOND }];
-    assert_eq!(dates.lower_max_fast(Some(SECOND)), earlier);
-    assert_eq!(dates.lower_max_fast(Some(SECOND)), Vec::new());
-    assert_eq!(dates.lower_max_fast(None), Vec::new());
-    assert_eq!(date_start(&mut dates, NOW + SECOND, 1, NOW - HOUR), NOW - HOUR + SECOND);
+    assert_eq!(dates.lower_max_clock_lead(Some(SECOND)), earlier);
+    assert_eq!(dates.lower_max_clock_lead(Some(SECOND)), Vec::new());
+    assert_eq!(dates.lower_max_clock_lead(None), Vec::new());
+    assert_eq!(effective_start(&mut dates, NOW + SECOND, 1, NOW - HOUR), NOW - HOUR + SECOND);
 }
 
 #[test]
 fn another_process_of_the_gateway_may_know_that_a_start_was_earlier() {
-    let mut dates = dates_with_max_fast(HOUR);
+    let mut dates = dates_with_max_clock_lead(HOUR);
     let listed = NOW - HOUR;
-    date_start(&mut dates, NOW, 1, listed);
+    effective_start(&mut dates, NOW, 1, listed);
     let other = |started| [DatedStart { server: 1, started }].into_iter();
     assert_eq!(
         dates.take_over(other(listed - 2 * SECOND)),
@@ -93,14 +97,14 @@
         "the other process has received fewer reports"
     );
     assert_eq!(dates.take_over(other(listed + SECOND)).len(), 1);
-    assert_eq!(date_start(&mut dates, NOW, 1, listed), listed + SECOND);
+    assert_eq!(effective_start(&mut dates, NOW, 1, listed), listed + SECOND);
 }
 
 #[test]
 fn starts_are_bounded_and_forgotten_with_their_stores() {
-    let mut dates = dates_with_max_fast(Duration::ZERO);
+    let mut dates = dates_with_max_clock_lead(Duration::ZERO);
     for server in 0..MAX_STARTS as u64 + 10 {
-        date_start(&mut dates, NOW, server, NOW - HOUR - Duration::from_micros(server));
+        effective_start(&mut dates, NOW, server, NOW - HOUR - Duration::from_micros(server));
     }
     assert_eq!(dates.by_server.len(), MAX_STARTS);
     dates.date_entries(NOW, ListScope::Complete, &mut [entry(3, NOW - SECOND)]);
--- a/gateway/src/clock/wire/clock_error.rs
+++ b/gateway/src/clock/wire/clock_error.rs
@@ -28,7 +28,7 @@
 
     /// The most that the own clock can be fast, since no reported time lies in the future. None before a time was
     /// reported.
-    pub(super) fn max_fast(&self) -> Option<Duration> {
+    pub(super) fn max_clock_lead(&self) -> Option<Duration> {
         self.min_lag
     }
 
--- a/gateway/src/clock/wire/mod.rs
+++ b/gateway/src/clock/wire/mod.rs
@@ -158,8 +158,8 @@
     }
 
     /// The most that the own clock can be fast, by the times reported so far; none before the first.
-    pub fn max_fast(&self) -> Option<Duration> {
-        self.clock_error.max_fast()
+    pub fn max_clock_lead(&self) -> Option<Duration> {
+        self.clock_error.max_clock_lead()
     }
 
     /// The latest time that other machines may report as the present: the own clock, plus the amount by which it is
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -100,7 +100,7 @@
 
     /// Admits a request; its final reply comes as a command or from [`Core::end_attempt_with_reply`]. Returns none if
     /// its call id is that of a request that has not ended: stores could not distinguish the two.
-    pub fn request(&mut self, now: MonotonicTime, reply_to: ReplyHandle, request: Request) -> Option<Key> {
+    pub fn admit(&mut self, now: MonotonicTime, reply_to: ReplyHandle, request: Request) -> Option<Key> {
         if self.open_call_ids.contains(&request.call_id) {
             return None;
         }
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -91,7 +91,7 @@
 #[test]
 fn a_waiting_attempt_goes_elsewhere_after_a_drain_event() {
     let mut core = configured_core();
-    core.request(START, reply_to(1), new_request(0, 7));
+    core.admit(START, reply_to(1), new_request(0, 7));
     let waiting = take_sent(&mut core)[0];
     core.attempt(waiting).expect("there").connection = Some(Key(5));
     let (server, _) = core.target(waiting).expect("a target");
@@ -118,7 +118,7 @@
 fn a_waiting_attempt_is_decided_again_after_a_purge_but_a_sent_one_is_not() {
     let mut core = configured_core();
     for object in [7, 8] {
-        core.request(START, reply_to(object), new_request(0, object));
+        core.admit(START, reply_to(object), new_request(0, object));
     }
     let keys = take_sent(&mut core);
     core.attempt(keys[1]).expect("there").first_byte_at = Some(START);
@@ -136,7 +136,7 @@
     let mut core = configured_core();
     let (issued, age) = (START - 7990 * MS, 7990 * MS);
     core.apply_event(START, &Change::Purge { object: Some(7), group: 0, issued, age });
-    core.request(START, reply_to(1), new_request(1, 7));
+    core.admit(START, reply_to(1), new_request(1, 7));
     let key = take_sent(&mut core)[0];
     assert_eq!(core.store_request(START, key).expect("it waits").max_age_ms, 7980);
     assert_eq!(core.store_request(START + 500 * MS, key).expect("it waits").max_age_ms, 8000);
@@ -153,7 +153,7 @@
                 endpoints: vec![store(1000 + n, 0, State::Up)],
             },
         );
-        core.request(START, reply_to(n), new_request(0, n));
+        core.admit(START, reply_to(n), new_request(0, n));
         core.apply_event(
             START,
             &Change::EndpointList {
@@ -180,7 +180,7 @@
 #[test]
 fn the_reply_margin_takes_little_of_a_short_timeout() {
     let mut core = configured_core();
-    core.request(START, reply_to(1), Request { timeout: 50 * MS, ..new_request(1, 7) });
+    core.admit(START, reply_to(1), Request { timeout: 50 * MS, ..new_request(1, 7) });
     let key = take_sent(&mut core)[0];
     assert!((45..50).contains(&core.store_request(START, key).expect("it waits").max_wait_ms));
 }
@@ -192,7 +192,7 @@
     const TTL: Duration = Duration::from_secs(6);
     for time_left in (0..40).map(|n| n * 100 * MICROSECOND).chain([TTL / 2, TTL - LONGEST_REPLY_MARGIN]) {
         let mut core = configured_core();
-        core.request(START, reply_to(1), new_request(0, 7));
+        core.admit(START, reply_to(1), new_request(0, 7));
         let end = core.requests.values_mut().next().expect("open").deadline;
         let at = end - time_left;
         // A withdrawn attempt is decided again, with no more attempts than the settings allow.
@@ -218,7 +218,7 @@
 #[test]
 fn an_attempt_reconnects_only_once() {
     let mut core = configured_core();
-    core.request(START, reply_to(1), new_request(0, 7));
+    core.admit(START, reply_to(1), new_request(0, 7));
     let waiting = take_sent(&mut core)[0];
     assert!(core.reconnect_once(waiting) && !core.reconnect_once(waiting));
 }
@@ -226,34 +226,34 @@
 #[test]
 fn a_call_id_in_use_is_rejected_until_its_request_has_ended() {
     let mut core = configured_core();
-    let request = core.request(START, reply_to(1), new_request(0, 7)).expect("taken");
-    assert!(core.request(START, reply_to(2), new_request(0, 7)).is_none());
+    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("taken");
+    assert!(core.admit(START, reply_to(2), new_request(0, 7)).is_none());
     core.client_left(START, request);
-    assert!(core.request(START, reply_to(3), new_request(0, 7)).is_some());
+    assert!(core.admit(START, reply_to(3), new_request(0, 7)).is_some());
 }
 
 #[test]
 fn each_request_gets_one_final_reply_despite_late_events() {
     let mut core = configured_core();
-    let request = core.request(START, reply_to(1), new_request(0, 7)).expect("taken");
+    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("taken");
     let first = take_sent(&mut core)[0];
     core.attempt(first).expect("there").first_byte_at = Some(START);
     assert_eq!(core.end_attempt(START + 5 * MICROSECOND, first, Status::Ok, Note::Hit), Some(reply_to(1)));
     assert_eq!(core.end_attempt(START + 6 * MICROSECOND, first, Status::Ok, Note::Hit), None);
     core.client_left(START + 7 * MICROSECOND, request);
     core.handle_deadline(START + 6000 * MS, Due::Request(request));
-    let finals = core
+    let final_replies = core
         .commands
         .iter()
         .filter(|command| matches!(command, Command::ReplyRejected(..) | Command::ReplyFailed(..)))
         .count();
-    assert_eq!((finals, core.open_requests(), core.request_body_bytes), (0, 0, 0));
+    assert_eq!((final_replies, core.open_requests(), core.request_body_bytes), (0, 0, 0));
 }
 
 #[test]
 fn at_the_deadline_a_request_fails_and_its_attempt_is_abandoned() {
     let mut core = configured_core();
-    let request = core.request(START, reply_to(1), new_request(0, 7)).expect("taken");
+    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("taken");
     let key = take_sent(&mut core)[0];
     let attempt = core.attempt(key).expect("there");
     (attempt.first_byte_at, attempt.connection) = (Some(START), Some(Key(5)));
@@ -294,7 +294,7 @@
                 core.answer_all_by(at, final_reply_deadline(at, longest));
             }
             number += 1;
-            core.request(
+            core.admit(
                 at,
                 reply_to(number),
                 Request { timeout: longest, ..new_request(number as usize % 2, number) },
@@ -317,11 +317,11 @@
 
 /// Takes the attempts that are to be sent, and counts the rejections and failures among the commands.
 fn take_sent_and_count_replies(core: &mut Core, answered: &mut u64) -> Vec<Key> {
-    let finals = core
+    let final_replies = core
         .commands
         .iter()
         .filter(|command| matches!(command, Command::ReplyRejected(..) | Command::ReplyFailed(..)));
-    *answered += finals.count() as u64;
+    *answered += final_replies.count() as u64;
     take_sent(core)
 }
 
@@ -354,7 +354,7 @@
                     let request =
                         Request { timeout, call_id, ..new_request(draw(2) as usize, 1000 + draw(30)) };
                     received += 1;
-                    requests.extend(core.request(at, reply_to(step), request));
+                    requests.extend(core.admit(at, reply_to(step), request));
                 }
                 4..=6 if !attempts.is_empty() => {
                     let key = attempts.swap_remove(draw(attempts.len() as u64) as usize);
@@ -420,23 +420,25 @@
 fn fills_beyond_the_shield_limit_are_rejected_or_cached_only_and_resume_below_it() {
     let mut core = core_with_shield(2.0);
     for n in 0..10 {
-        core.request(START, reply_to(n), new_request(0, 100 + n));
+        core.admit(START, reply_to(n), new_request(0, 100 + n));
     }
     let refused =
         core.commands.iter().filter(|command| matches!(command, Command::ReplyRejected(..))).count();
-    let out = take_sent(&mut core);
+    let sent = take_sent(&mut core);
     let fetches = |core: &Core, key: &Key| {
         core.store_request(START, *key)
             .is_some_and(|p| p.source.is_some_and(|s| s == "s-50" || s == "s-90") && !p.cached_only)
     };
-    let fills: Vec<Key> = out.iter().copied().filter(|key| fetches(&core, key)).collect();
-    assert_eq!((fills.len(), out.len() + refused), (2, 10));
-    assert!(core.shield().is_some_and(|s| s.in_flight() == 2 && s.in_flight() <= s.limit()));
+    let fills: Vec<Key> = sent.iter().copied().filter(|key| fetches(&core, key)).collect();
+    assert_eq!((fills.len(), sent.len() + refused), (2, 10));
+    assert!(core
+        .shield()
+        .is_some_and(|shield| shield.in_flight() == 2 && shield.in_flight() <= shield.limit()));
     for key in fills {
         core.end_attempt(START + 20 * MS, key, Status::Ok, Note::FilledByOrigin);
     }
     assert_eq!(core.shield().map(OriginAdmission::in_flight), Some(0));
-    core.request(START + 30 * MS, reply_to(20), new_request(0, 500));
+    core.admit(START + 30 * MS, reply_to(20), new_request(0, 500));
     let resent = take_sent(&mut core);
     assert!(resent.iter().any(|key| fetches(&core, key)), "the limit allows fetches again");
 }
@@ -446,7 +448,7 @@
     let mut core = core_with_shield(4.0);
     for n in 0..12 {
         let at = START + Duration::from_millis(n * 400);
-        core.request(at, reply_to(n), new_request(0, 7));
+        core.admit(at, reply_to(n), new_request(0, 7));
         for key in take_sent(&mut core) {
             core.end_attempt(at + 10 * MS, key, Status::Ok, Note::Hit);
         }
@@ -455,7 +457,7 @@
     assert_eq!((shield.in_flight(), shield.rejected, shield.remembered(), shield.limit()), (0, 0, 0, 4));
     for n in 0..6 {
         let at = START + Duration::from_secs(10 + n);
-        core.request(at, reply_to(100 + n), new_request(0, 1000 + n));
+        core.admit(at, reply_to(100 + n), new_request(0, 1000 + n));
         for key in take_sent(&mut core) {
             core.end_attempt(at + 50 * MS, key, Status::Error, Note::OriginFailed);
         }
@@ -476,7 +478,7 @@
     let mut request_all = |core: &mut Core, from: u64, end: (Status, Note)| {
         for n in from..from + 12 {
             at += 500 * MS;
-            core.request(at, reply_to(n), new_request(0, n));
+            core.admit(at, reply_to(n), new_request(0, n));
             for key in take_sent(core) {
                 let (status, note) = end;
                 let result =
--- a/gateway/src/membership/client_events.rs
+++ b/gateway/src/membership/client_events.rs
@@ -32,7 +32,7 @@
             match output {
                 client::Output::Connect(server) => {
                     if let Some(&address) = self.settings.servers.get(server) {
-                        self.server = Some(address);
+                        self.last_server = Some(address);
                         effects.push(Effect::Connect(address));
                     }
                 }
--- a/gateway/src/membership/mod.rs
+++ b/gateway/src/membership/mod.rs
@@ -47,7 +47,7 @@
     /// Whether the session has a connection.
     connected: bool,
     /// The server of the ensemble to which a connection was last attempted.
-    server: Option<SocketAddr>,
+    last_server: Option<SocketAddr>,
     /// Converts the times that nodes state to the monotonic clock.
     wire_times: WireTimes,
     /// Whether all nodes of stores have been read at least once.
@@ -76,7 +76,7 @@
             settings,
             own,
             connected: false,
-            server: None,
+            last_server: None,
             wire_times: WireTimes::new(),
             stores_read: false,
             save_due: None,
@@ -96,8 +96,8 @@
 
     /// The most that the own Unix clock can be fast, by the times that nodes state; none before a node has stated
     /// one.
-    pub fn max_clock_fast(&self) -> Option<Duration> {
-        self.wire_times.max_fast()
+    pub fn max_clock_lead(&self) -> Option<Duration> {
+        self.wire_times.max_clock_lead()
     }
 
     /// The path of the Unix socket at which operators query this instance.
--- a/gateway/src/membership/report.rs
+++ b/gateway/src/membership/report.rs
@@ -96,7 +96,7 @@
         SessionReport {
             id: format!("{:#x}", session.id()),
             connected: self.connected,
-            server: self.server.filter(|_| self.connected).map(|server| server.to_string()),
+            server: self.last_server.filter(|_| self.connected).map(|server| server.to_string()),
             registered: self.client.registered(),
             zxid: format!("{:#x}", session.last_zxid()),
         }
--- a/gateway/src/net/endpoint_list.rs
+++ b/gateway/src/net/endpoint_list.rs
@@ -102,9 +102,9 @@
 
     /// Others may have reported times: starts of stores that turn out to be earlier are so for the decision module.
     pub(super) fn bound_clock(&mut self, now: MonotonicTime) {
-        let of_nodes = self.membership.as_ref().and_then(Membership::max_clock_fast);
-        let max_fast = self.wire_times.max_fast().into_iter().chain(of_nodes).min();
-        let earlier = self.start_dates.lower_max_fast(max_fast);
+        let of_nodes = self.membership.as_ref().and_then(Membership::max_clock_lead);
+        let max_clock_lead = self.wire_times.max_clock_lead().into_iter().chain(of_nodes).min();
+        let earlier = self.start_dates.lower_max_clock_lead(max_clock_lead);
         self.core.correct_starts(now, earlier);
     }
 
--- a/gateway/src/net/platform_clients.rs
+++ b/gateway/src/net/platform_clients.rs
@@ -46,7 +46,7 @@
     fn submit_platform_request(&mut self, now: MonotonicTime, key: Key, sequence: i32, request: Request) {
         let reply_to = ReplyHandle { connection: key, sequence: sequence as u64 };
         let call_id = request.call_id.clone();
-        let admitted = self.core.request(now, reply_to, request);
+        let admitted = self.core.admit(now, reply_to, request);
         let Some(Connection { role: Role::PlatformClient(session), output, .. }) =
             self.connections.get_mut(key)
         else {
--- a/gateway/src/net/signed_clients.rs
+++ b/gateway/src/net/signed_clients.rs
@@ -60,7 +60,7 @@
             return Err(RequestError::Loop);
         }
         request.call_id = format!("{:016x}", self.random());
-        self.core.request(now, reply_to, request).ok_or(RequestError::NoCapacity)
+        self.core.admit(now, reply_to, request).ok_or(RequestError::NoCapacity)
     }
 
     fn record_admitted(&mut self, key: Key, request: Key) {
--- a/gateway/src/peers/cluster.rs
+++ b/gateway/src/peers/cluster.rs
@@ -130,7 +130,7 @@
     }
 
     /// Passes an event to the membership.
-    pub(super) fn detect(&mut self, now: MonotonicTime, input: Input<'_>) -> Vec<Output> {
+    pub(super) fn handle_membership(&mut self, now: MonotonicTime, input: Input<'_>) -> Vec<Output> {
         self.members.handle(now, input)
     }
 
--- a/gateway/src/peers/datagrams.rs
+++ b/gateway/src/peers/datagrams.rs
@@ -52,7 +52,7 @@
         datagram: &[u8],
         from: SocketAddr,
     ) -> Result<Vec<Effect>, DecodeError> {
-        let sender = *self.numbers.get(&from).ok_or(DecodeError::UnknownSender)?;
+        let sender = *self.member_numbers.get(&from).ok_or(DecodeError::UnknownSender)?;
         let envelope = wire::decode(datagram)?;
         if envelope.from != sender || usize::from(sender) == self.addresses.own_index {
             return Err(DecodeError::UnknownSender);
@@ -73,7 +73,7 @@
             }
             (kind, _, Some(cluster)) => {
                 let now = membership_time(cluster, now);
-                let outputs = cluster.detect(now, tiers::Input::Received { kind, from, body });
+                let outputs = cluster.handle_membership(now, tiers::Input::Received { kind, from, body });
                 self.execute(outputs);
             }
             _ => {}
--- a/gateway/src/peers/mod.rs
+++ b/gateway/src/peers/mod.rs
@@ -39,7 +39,7 @@
     addresses: Addresses,
     socket: Option<UdpSocket>,
     /// The member numbers by address.
-    numbers: BTreeMap<SocketAddr, u16>,
+    member_numbers: BTreeMap<SocketAddr, u16>,
     /// When listening is retried, if the address was in use.
     listen_retry_at: Option<MonotonicTime>,
     load_sharing: Option<LoadSharing>,
@@ -66,7 +66,7 @@
         let mut peers = Peers {
             addresses: Addresses::default(),
             socket: None,
-            numbers: BTreeMap::new(),
+            member_numbers: BTreeMap::new(),
             listen_retry_at: None,
             load_sharing: None,
             cluster: None,
@@ -81,10 +81,10 @@
         self.configure_load_sharing(now, settings);
         self.configure_cluster(now, settings);
         let addresses = settings.addresses.all.iter().enumerate();
-        self.numbers = addresses.map(|(index, address)| (*address, member_number(index))).collect();
-        let moved = self.addresses.own != settings.addresses.own;
+        self.member_numbers = addresses.map(|(index, address)| (*address, member_number(index))).collect();
+        let address_changed = self.addresses.own != settings.addresses.own;
         self.addresses = settings.addresses.clone();
-        if !moved {
+        if !address_changed {
             return SocketChange::Unchanged;
         }
         self.socket = None;
@@ -216,7 +216,7 @@
     fn tick_cluster(&mut self, now: MonotonicTime, avoided: BTreeSet<ServerId>, effects: &mut Vec<Effect>) {
         let own_member = member_number(self.addresses.own_index);
         let Some(cluster) = &mut self.cluster else { return };
-        let outputs = cluster.detect(membership_time(cluster, now), tiers::Input::Tick);
+        let outputs = cluster.handle_membership(membership_time(cluster, now), tiers::Input::Tick);
         if cluster.update_quotas(now) == QuotaChange::Changed {
             effects.push(Effect::QuotasChanged);
         }
@@ -233,7 +233,7 @@
     /// Notifies the peers that the graceful shutdown of this gateway begins.
     pub fn leave(&mut self, now: MonotonicTime) {
         if let Some(cluster) = &mut self.cluster {
-            let outputs = cluster.detect(membership_time(cluster, now), tiers::Input::Leave);
+            let outputs = cluster.handle_membership(membership_time(cluster, now), tiers::Input::Leave);
             self.execute(outputs);
         }
     }
--- a/gateway/src/store_overrides/tests.rs
+++ b/gateway/src/store_overrides/tests.rs
@@ -24,13 +24,13 @@
 
 /// The stores in force, by the endpoint list and the overrides, as the gateway combines them.
 #[derive(Default)]
-struct Applied {
+struct StoresInForce {
     overrides: StoreOverrides,
     stores: BTreeMap<ServerId, Endpoint>,
 }
 
-impl Applied {
-    fn list(&mut self, scope: ListScope, mut entries: Vec<Endpoint>) {
+impl StoresInForce {
+    fn apply_list(&mut self, scope: ListScope, mut entries: Vec<Endpoint>) {
         self.overrides.apply(scope, &mut entries);
         if scope.is_complete() {
             self.stores.clear();
@@ -38,7 +38,7 @@
         self.apply(entries);
     }
 
-    fn documents(&mut self, entries: &[(&str, f64)]) -> usize {
+    fn replace_documents(&mut self, entries: &[(&str, f64)]) -> usize {
         let changed = self.overrides.replace(&documents(entries), |id| self.stores.get(&id));
         let count = changed.len();
         self.apply(changed);
@@ -61,41 +61,52 @@
 
 #[test]
 fn a_document_overrides_the_list_until_it_is_withdrawn() {
-    let mut applied = Applied::default();
-    applied.list(ListScope::Complete, vec![endpoint("a-1", 4.0, State::Up), endpoint("a-2", 4.0, State::Up)]);
-    assert_eq!(applied.documents(&[("a-1", 7.0)]), 1, "only the store of the document changes");
-    assert_eq!((applied.weight("a-1"), applied.weight("a-2")), (Some(7.0), Some(4.0)));
-    applied.list(ListScope::Changes, vec![endpoint("a-1", 5.0, State::Draining)]);
-    assert_eq!(applied.weight("a-1"), Some(7.0), "a change of the list does not undo the override");
-    let state = applied.stores[&endpoint_id("a-1")].host.state;
+    let mut stores_in_force = StoresInForce::default();
+    stores_in_force.apply_list(
+        ListScope::Complete,
+        vec![endpoint("a-1", 4.0, State::Up), endpoint("a-2", 4.0, State::Up)],
+    );
+    assert_eq!(
+        stores_in_force.replace_documents(&[("a-1", 7.0)]),
+        1,
+        "only the store of the document changes"
+    );
+    assert_eq!((stores_in_force.weight("a-1"), stores_in_force.weight("a-2")), (Some(7.0), Some(4.0)));
+    stores_in_force.apply_list(ListScope::Changes, vec![endpoint("a-1", 5.0, State::Draining)]);
+    assert_eq!(stores_in_force.weight("a-1"), Some(7.0), "a change of the list does not undo the override");
+    let state = stores_in_force.stores[&endpoint_id("a-1")].host.state;
     assert_eq!(state, State::Draining, "the state is that of the list");
-    assert_eq!(applied.documents(&[("a-1", 7.0)]), 0, "nothing changes");
-    assert_eq!(applied.documents(&[]), 1);
-    assert_eq!(applied.weight("a-1"), Some(5.0), "the latest value of the list applies again");
+    assert_eq!(stores_in_force.replace_documents(&[("a-1", 7.0)]), 0, "nothing changes");
+    assert_eq!(stores_in_force.replace_documents(&[]), 1);
+    assert_eq!(stores_in_force.weight("a-1"), Some(5.0), "the latest value of the list applies again");
 }
 
 #[test]
 fn a_document_neither_lists_nor_removes_a_store() {
-    let mut applied = Applied::default();
-    assert_eq!(applied.documents(&[("a-1", 7.0)]), 0);
-    assert_eq!(applied.weight("a-1"), None);
-    applied.list(ListScope::Complete, vec![endpoint("a-1", 4.0, State::Up)]);
-    assert_eq!(applied.weight("a-1"), Some(7.0), "once it is listed");
-    applied.list(ListScope::Changes, vec![endpoint("a-1", 4.0, State::Removed)]);
-    assert_eq!(applied.weight("a-1"), None);
-    assert_eq!(applied.documents(&[]), 0, "a removed store is not listed again");
-    applied.documents(&[("a-1", 7.0)]);
-    applied.list(ListScope::Complete, vec![endpoint("a-1", 4.0, State::Up)]);
-    applied.list(ListScope::Complete, vec![endpoint("a-2", 4.0, State::Up)]);
-    assert_eq!(applied.documents(&[("a-1", 8.0)]), 0, "a complete list without it removes it");
-    assert_eq!(applied.weight("a-1"), None);
+    let mut stores_in_force = StoresInForce::default();
+    assert_eq!(stores_in_force.replace_documents(&[("a-1", 7.0)]), 0);
+    assert_eq!(stores_in_force.weight("a-1"), None);
+    stores_in_force.apply_list(ListScope::Complete, vec![endpoint("a-1", 4.0, State::Up)]);
+    assert_eq!(stores_in_force.weight("a-1"), Some(7.0), "once it is listed");
+    stores_in_force.apply_list(ListScope::Changes, vec![endpoint("a-1", 4.0, State::Removed)]);
+    assert_eq!(stores_in_force.weight("a-1"), None);
+    assert_eq!(stores_in_force.replace_documents(&[]), 0, "a removed store is not listed again");
+    stores_in_force.replace_documents(&[("a-1", 7.0)]);
+    stores_in_force.apply_list(ListScope::Complete, vec![endpoint("a-1", 4.0, State::Up)]);
+    stores_in_force.apply_list(ListScope::Complete, vec![endpoint("a-2", 4.0, State::Up)]);
+    assert_eq!(
+        stores_in_force.replace_documents(&[("a-1", 8.0)]),
+        0,
+        "a complete list without it removes it"
+    );
+    assert_eq!(stores_in_force.weight("a-1"), None);
 }
 
 #[test]
 fn a_store_whose_name_has_the_same_id_is_another_one() {
-    let mut applied = Applied::default();
-    applied.list(ListScope::Complete, vec![endpoint("b-1", 4.0, State::Up)]);
-    assert_eq!(applied.documents(&[("a-1", 7.0)]), 0);
-    applied.list(ListScope::Changes, vec![endpoint("b-1", 5.0, State::Up)]);
-    assert_eq!(applied.weight("b-1"), Some(5.0));
+    let mut stores_in_force = StoresInForce::default();
+    stores_in_force.apply_list(ListScope::Complete, vec![endpoint("b-1", 4.0, State::Up)]);
+    assert_eq!(stores_in_force.replace_documents(&[("a-1", 7.0)]), 0);
+    stores_in_force.apply_list(ListScope::Changes, vec![endpoint("b-1", 5.0, State::Up)]);
+    assert_eq!(stores_in_force.weight("b-1"), Some(5.0));
 }
