--- a/gateway/src/clock/wire/clock_error.rs
+++ b/gateway/src/clock/wire/clock_error.rs
@@ -8,7 +8,8 @@
 pub(super) struct ClockError {
     /// The smallest lag of a reported time behind the own clock when it was reported; none before the first.
     min_lag: Option<Duration>,
-    /// How far the own clock is known to be slow: the most by which a time of the event source was ahead of it.
+    /// The amount by which the own clock is known to be slow: the most by which a time of the event source was ahead
+    /// of it.
     slow_by: Duration,
 }
 
@@ -27,7 +28,7 @@
 
     /// The most that the own clock can be fast, since no reported time lies in the future. None before a time was
     /// reported.
-    pub(super) fn max_fast(&self) -> Option<Duration> {
+    pub(super) fn max_clock_lead(&self) -> Option<Duration> {
         self.min_lag
     }
 
--- a/gateway/src/clock/wire/mod.rs
+++ b/gateway/src/clock/wire/mod.rs
@@ -18,14 +18,14 @@
 use std::time::Duration;
 use store_starts::StoreStarts;
 
-/// How far two clocks may differ and still count as equal: a reported time up to this far in the future counts as the
-/// present.
+/// Most that two clocks may differ and still count as equal: a reported time up to this far in the future counts as
+/// the present.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// When the origin issued a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CopyTimes {
-    /// As reported, to be compared only with the reported issue times of purges.
+    /// The reported time, to be compared only with the reported issue times of purges.
     pub issued: MonotonicTime,
     /// On the gateway's own clock; the age of the copy is computed from this time.
     pub issued_local: MonotonicTime,
@@ -158,8 +158,8 @@
     }
 
     /// The most that the own clock can be fast, by the times reported so far; none before the first.
-    pub fn max_fast(&self) -> Option<Duration> {
-        self.clock_error.max_fast()
+    pub fn max_clock_lead(&self) -> Option<Duration> {
+        self.clock_error.max_clock_lead()
     }
 
     /// The latest time that other machines may report as the present: the own clock, plus the amount by which it is
--- a/gateway/src/membership/client_events.rs
+++ b/gateway/src/membership/client_events.rs
@@ -32,7 +32,7 @@
             match output {
                 client::Output::Connect(server) => {
                     if let Some(&address) = self.settings.servers.get(server) {
-                        self.server = Some(address);
+                        self.last_server = Some(address);
                         effects.push(Effect::Connect(address));
                     }
                 }
@@ -63,7 +63,7 @@
         match event {
             ClientEvent::SessionEstablished { timeout, fresh, .. } => {
                 let kind = if fresh { "a session" } else { "the session" };
-                info!(timeout_ms = timeout.as_millis(), "{kind} with the ensemble is established");
+                info!(timeout_ms = timeout.as_millis(), "{kind} with the ensemble is granted");
                 self.set_connectivity(now, Connectivity::Connected, effects);
             }
             ClientEvent::Suspended(reason) => {
--- a/gateway/src/net/endpoint_list.rs
+++ b/gateway/src/net/endpoint_list.rs
@@ -113,9 +113,9 @@
     /// Corrects the start times of stores with the latest bound on how fast this clock may be, and passes those that
     /// turn out to be earlier to the decision module.
     pub(super) fn bound_clock(&mut self, now: MonotonicTime) {
-        let max_fast_of_nodes = self.membership.as_ref().and_then(Membership::max_clock_fast);
-        let max_fast = self.wire_times.max_fast().into_iter().chain(max_fast_of_nodes).min();
-        let earlier_starts = self.start_dates.lower_max_fast(max_fast);
+        let max_fast_of_nodes = self.membership.as_ref().and_then(Membership::max_clock_lead);
+        let max_clock_lead = self.wire_times.max_clock_lead().into_iter().chain(max_fast_of_nodes).min();
+        let earlier_starts = self.start_dates.lower_max_clock_lead(max_clock_lead);
         self.core.correct_starts(now, earlier_starts);
     }
 
