--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -14,9 +14,9 @@
 const UNREAD_CLIENT_MEMORY_DIVISOR: usize = 6;
 /// Divisor of the memory limit for these buffered bytes above which no client gets a further request admitted.
 const ADMIT_MEMORY_DIVISOR: usize = 4;
-/// Divisor of the memory limit for the hard limit on these buffered bytes: beyond it, replies from stores are dropped
-/// too, and the client with the most unprocessed input is closed. Slow readers are not closed: they are no fault, and
-/// closing one loses the replies that are still to be sent to it.
+/// Divisor of the memory limit for the hard limit on these buffered bytes: beyond it, requests whose replies have
+/// arrived are rejected too, and the client with the most unprocessed input is disconnected. Clients that read slowly
+/// are not: that is no fault, and disconnecting one loses the replies that are still to be sent to it.
 pub(super) const CLIENT_MEMORY_DIVISOR: usize = 3;
 /// Divisor of the memory limit for the bodies of all open requests.
 const REQUEST_MEMORY_DIVISOR: usize = 8;
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Enforces the limit on the buffered bytes of all client connections: several hundred clients that read only 1
-    /// MB/s, or that send half a message, exhaust the memory together although each buffers little.
+    /// Enforces the limit on the buffered bytes of all client connections: several hundred clients that read 1 MB per
+    /// second, or that send half a message, exhaust the memory together although each buffers little.
     pub(super) fn enforce_client_bytes(&mut self, now: MonotonicTime) {
-        // Replies that clients are slow to read take precedence over cached objects.
+        // The object cache shrinks first: buffered replies take precedence over cached objects.
         let memory = self.memory_limit / self.processes.process_count();
         let budget = MemoryBudget { limit: memory, reserved: self.client_bytes };
         self.core.object_cache.iter_mut().for_each(|cache| cache.set_capacity(budget));
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Makes capacity for a reply of `answer_bytes` and returns whether there is enough. Closes the clients with the
-    /// largest unprocessed input, if all large inputs together free enough: otherwise a reply that a client waits for
-    /// would be dropped in favour of incomplete messages. Clients with small inputs stay connected.
+    /// Makes capacity for a reply of `answer_bytes` and returns whether there is enough. Disconnects the clients with
+    /// the largest unprocessed inputs, if all large inputs together free enough: otherwise a reply that a client waits
+    /// for would be lost in favour of incomplete messages. Clients with small inputs stay connected.
     pub(super) fn ensure_answer_capacity(&mut self, now: MonotonicTime, answer_bytes: usize) -> bool {
         if self.can_buffer(answer_bytes) {
             return true;
@@ -148,7 +148,7 @@
         answer_bytes <= SMALL_ANSWER_BYTES || self.client_bytes + answer_bytes <= self.max_client_bytes
     }
 
-    /// Whether memory and the number of open requests allow one more request of this client.
+    /// Whether memory use and the number of open requests allow one more request of this client.
     pub(super) fn has_capacity(&self, key: SlotKey) -> bool {
         let has_unread_answers = self.connections.get(key).is_some_and(|c| !c.output.remaining().is_empty());
         let divisor = if has_unread_answers { UNREAD_CLIENT_MEMORY_DIVISOR } else { ADMIT_MEMORY_DIVISOR };
--- a/gateway/src/net/connections.rs
+++ b/gateway/src/net/connections.rs
@@ -18,9 +18,9 @@
 use std::net::{SocketAddr, TcpStream};
 use tracing::{error, warn};
 
-/// Size of one read while the input buffer holds at most this number of bytes.
+/// Size in bytes of one read while the input buffer holds at most this many bytes.
 const SMALL_READ_BYTES: usize = 8 * 1024;
-/// Size of one read while the input buffer holds more, as within a large message.
+/// Size in bytes of one read while the input buffer holds more, as within a large message.
 pub(super) const LARGE_READ_BYTES: usize = 64 * 1024;
 
 impl Gateway {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Stores unprocessed input for the next read, and moves the deadline forward if needed, so that an incomplete
+    /// Stores unprocessed input for the next read, and sets an earlier deadline if needed, so that an incomplete
     /// message times out.
     fn store_unprocessed_input(&mut self, now: MonotonicTime, key: SlotKey, input: Buffer) {
         let Some(conn) = self.connections.get_mut(key) else { return };
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -62,7 +62,7 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     if !self.ensure_client_capacity(now) {
-                        warn!(clients = self.client_count, "a client is turned away: too many are connected");
+                        warn!(clients = self.client_count, "a client is rejected: too many are connected");
                         continue;
                     }
                     if stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true)).is_ok() {
--- a/gateway/src/net/operators.rs
+++ b/gateway/src/net/operators.rs
@@ -245,7 +245,7 @@
             EjectionAction::Eject => "out",
             EjectionAction::Restore => "back",
         };
-        info!(store, state, ?outcome, "an operator calls a store out or back");
+        info!(store, state, ?outcome, "an operator ejects or restores a store");
         match self.unsaved_ejections().filter(|_| outcome == EjectionOutcome::Applied) {
             Some(file) => OperatorAnswer::WhenDurable(EjectionCall { store, action }, file),
             None => OperatorAnswer::Immediate(Reply::ejection(&store, action, outcome, None)),
--- a/gateway/src/net/processes.rs
+++ b/gateway/src/net/processes.rs
@@ -105,7 +105,7 @@
     pub(super) fn handle_frame(&mut self, now: MonotonicTime, place: usize, frame: Frame) {
         match frame {
             Frame::Hello { name } => {
-                info!(name, "another process of this gateway begins");
+                info!(name, "another process of this gateway has started");
                 self.processes.joined(place);
                 self.share_limits();
                 self.sent_work_reported_until = now;
--- a/gateway/src/resp/tests.rs
+++ b/gateway/src/resp/tests.rs
@@ -18,7 +18,7 @@
         assert_eq!(decoded_length(&text[..length]), Ok(None), "{length}");
     }
     text.extend_from_slice(b"*1");
-    let (reply, used) = decode_reply(&text).expect("reads").expect("whole");
+    let (reply, used) = decode_reply(&text).expect("a valid reply").expect("a complete reply");
     assert_eq!((reply.id, reply.status, reply.note), ("aa", Some(Status::Ok), Note::FilledByOrigin));
     assert_eq!((reply.entity_tag, reply.body, used), (Some("t1"), &b"\r\n$\0\xff"[..], text.len() - 2));
 }
@@ -41,7 +41,7 @@
     let fields = |store_request: &StoreRequest<'_>| {
         let mut output = Vec::new();
         encode_request(&mut output, store_request, &[WireClass::current("files", &ClassSettings::default())]);
-        let array = decode_array(&output).expect("reads").expect("whole");
+        let array = decode_array(&output).expect("a valid request").expect("a complete request");
         field(std::str::from_utf8(array.strings[2]).expect("text"), "f").map(str::to_string)
     };
     assert_eq!(fields(&store_request).as_deref(), Some("peek+swr"));
@@ -54,7 +54,7 @@
     for status in [&b"yes"[..], b"no"] {
         let mut text = Vec::new();
         encode_array(&mut text, &[b"p1", status, b"report=inflight:7;util:0.61"]);
-        let (reply, length) = decode_reply(&text).expect("readable").expect("whole");
+        let (reply, length) = decode_reply(&text).expect("a valid reply").expect("a complete reply");
         assert_eq!(
             (reply.status, reply.load_report, length),
             (None, Some("inflight:7;util:0.61"), text.len())
@@ -79,5 +79,5 @@
         assert!(decoded_length(text.as_bytes()).is_err(), "{text:?}");
     }
     assert!(decoded_length(&[b"*", &[b'1'; 40][..]].concat()).is_err());
-    assert!(decoded_length(b"*2\r\n$1\r\na\r\n$1\r\n\xff\r\n").is_err(), "a word that is not text");
+    assert!(decoded_length(b"*2\r\n$1\r\na\r\n$1\r\n\xff\r\n").is_err(), "a status that is not UTF-8");
 }
--- a/gateway/src/signed/session.rs
+++ b/gateway/src/signed/session.rs
@@ -151,7 +151,7 @@
                 Handled { used: 0, action: self.handle_partial(now, expects_continue, output) }
             }
             Err(error) => {
-                warn!(%error, "a request of the second front is malformed");
+                warn!(%error, "a request on the front for signed links is malformed");
                 self.keep_alive = false;
                 let text = error.to_string();
                 let after = self.write(error.status(), &[], text.as_bytes(), context.is_stopping, output);
--- a/gateway/src/slots.rs
+++ b/gateway/src/slots.rs
@@ -1,11 +1,11 @@
 //! Tables of numbered slots. A key consists of the slot's index and its generation, so that a stale key does not find a
 //! later entry in the same slot.
 
-/// The bits of a key above the index of its slot.
+/// The position in a key of the lowest bit of its generation.
 const GENERATION_SHIFT: u32 = 32;
-/// The bits of a key that hold the index of its slot.
+/// Mask of the bits of a key that hold the index of its slot.
 const INDEX_MASK: u64 = (1 << GENERATION_SHIFT) - 1;
-/// Generations wrap around here, so that the highest bit of a key stays free.
+/// Mask of a generation, which wraps around at 31 bits so that the highest bit of a key stays 0.
 const GENERATION_MASK: u32 = 0x7fff_ffff;
 
 /// The key of an entry: the index of its slot in the lower 32 bits, the generation in the bits above.
--- a/gateway/src/thrift/session.rs
+++ b/gateway/src/thrift/session.rs
@@ -157,7 +157,7 @@
 
     /// Replies to a request whose call id is already in use by an open request.
     pub fn reject_duplicate(&self, sequence: i32, call_id: &str, output: &mut Vec<u8>) {
-        warn!(call_id, "a request is malformed: its call is open already");
+        warn!(call_id, "a request is malformed: its call id belongs to an open request");
         write_exception(output, method::SERVE, sequence, PROTOCOL_ERROR, "call is open already");
     }
 
