--- a/gateway/src/connection.rs
+++ b/gateway/src/connection.rs
@@ -218,8 +218,8 @@
     pub(crate) fn interest(&self, max_unsent_bytes: usize) -> Interest {
         let unsent_bytes = self.output.remaining().len();
         // A client of the front for signed links that does not read its replies, or that pipelines too much, is not
-        // read from. A platform client is read from unless memory is scarce: the time-outs of its requests run from
-        // when it writes them, so unread ones would be late. There are few such clients and replies.
+        // read from. A platform client is read from unless memory is scarce: its requests have to be handled as soon as
+        // they are written, and would be late if left unread. There are few such clients, and few replies to them.
         let is_backlogged = match self.role {
             Role::SignedClient(_) => unsent_bytes.max(self.input.remaining().len()) > max_unsent_bytes,
             Role::PlatformClient(_) => {
--- a/gateway/src/thrift/request.rs
+++ b/gateway/src/thrift/request.rs
@@ -8,7 +8,8 @@
 
 /// Maximum size of a request's body in bytes.
 const MAX_BODY_BYTES: usize = 48_000;
-/// Maximum size of a part that a request may state, in KB: far above any object, and low enough to avoid overflows.
+/// Maximum size of a part that a request may state, in KB: far above any object, and low enough not to break
+/// arithmetic.
 const MAX_SIZE_KB: f64 = 1e9;
 /// Highest part number of an object.
 const MAX_PART: u64 = 1_000_000;
--- a/gateway/src/thrift/session.rs
+++ b/gateway/src/thrift/session.rs
@@ -161,7 +161,8 @@
         write_exception(output, method::SERVE, sequence, PROTOCOL_ERROR, "call is open already");
     }
 
-    /// Replies to a rejected request; the client may retry after `retry_after`, or at its own choice if that is zero.
+    /// Replies to a request that is rejected before it is admitted. `retry_after`: when the client may retry; zero for
+    /// no advice.
     pub fn reject(&self, sequence: i32, retry_after: Duration, output: &mut Vec<u8>) {
         write_busy(output, sequence, ceil_millis(retry_after));
     }
