--- a/gateway/src/thrift/session.rs
+++ b/gateway/src/thrift/session.rs
@@ -157,11 +157,12 @@
 
     /// Replies to a request whose call id is already in use by an open request.
     pub fn reject_duplicate(&self, sequence: i32, call_id: &str, output: &mut Vec<u8>) {
-        warn!(call_id, "a request is malformed: its call is open already");
+        warn!(call_id, "a request is malformed: its call id belongs to an open request");
         write_exception(output, method::SERVE, sequence, PROTOCOL_ERROR, "call is open already");
     }
 
-    /// Replies to a rejected request; the client may retry after `retry_after`, or at its own choice if that is zero.
+    /// Replies to a request that is rejected before it is admitted. `retry_after`: when the client may retry; zero for
+    /// no advice.
     pub fn reject(&self, sequence: i32, retry_after: Duration, output: &mut Vec<u8>) {
         write_busy(output, sequence, ceil_millis(retry_after));
     }
