--- a/gateway/src/net/connections.rs
+++ b/gateway/src/net/connections.rs
@@ -290,7 +290,7 @@
         self.client_bytes -= conn.counted_bytes;
         self.half_closed_count -= usize::from(matches!(conn.state, ConnectionState::HalfClosed { .. }));
         self.core.deadlines.clear(conn.deadline, DeadlineKind::Connection(key));
-        // The socket is closed below, which also ends polling, so an error has no effect.
+        // The socket is dropped with the connection, which ends polling too, so an error has no effect.
         let _ = self.poller.delete(&conn.stream);
         match conn.role {
             Role::PlatformClient(session) => {
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -131,7 +131,7 @@
             ClientListener::Platform => self.platform_listener.take(),
             ClientListener::Signed => self.signed_listener.take(),
         };
-        // The listener is dropped and so no longer polled; an error has no effect.
+        // Dropping the listener ends polling too, so an error has no effect.
         listener.into_iter().for_each(|old| drop(self.poller.delete(&old)));
     }
 
--- a/gateway/src/net/operators.rs
+++ b/gateway/src/net/operators.rs
@@ -93,7 +93,7 @@
             }
             Some(ClientState::Reading) => false,
             Some(ClientState::Writing) => true,
-            // The socket is closed and so no longer polled; an error has no effect.
+            // Dropping the socket ends polling too, so an error has no effect.
             Some(ClientState::Closed(stream)) => return drop(self.poller.delete(&stream)),
             None => return,
         };
@@ -190,7 +190,7 @@
     /// Updates the events that a caller of the console is polled for, or stops polling it.
     pub(super) fn apply_console_state(&mut self, place: usize, state: CallerState) {
         match state {
-            // The socket is closed and so no longer polled; an error has no effect.
+            // Dropping the socket ends polling too, so an error has no effect.
             CallerState::Closed(stream) => drop(self.poller.delete(&stream)),
             CallerState::Reading => self.poll_console_caller(place, true, false),
             CallerState::Writing => self.poll_console_caller(place, true, true),
--- a/gateway/src/net/processes.rs
+++ b/gateway/src/net/processes.rs
@@ -175,7 +175,7 @@
     fn apply_process_change(&mut self, place: usize, state: Option<ProcessState>) {
         match state {
             Some(ProcessState::Ended(stream)) => {
-                // The socket is closed and so no longer polled; an error has no effect.
+                // Dropping the socket ends polling too, so an error has no effect.
                 let _ = self.poller.delete(&stream);
                 info!("another process of this gateway has ended");
                 self.processes.left(place);
