--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -73,29 +73,34 @@
                 };
                 actions.clear();
                 let handled = catch_unwind(AssertUnwindSafe(|| router.handle(now, event, &mut actions)));
-                let bug = handled.err().map(|cause| text_of(cause.as_ref()));
-                write_actions(&mut out, &who, &actions, bug).map_err(ServeError::Write)?;
+                let panic_text = handled.err().map(|cause| panic_message(cause.as_ref()));
+                write_actions(&mut out, &who, &actions, panic_text).map_err(ServeError::Write)?;
             }
         }
     }
 }
 
 /// The message of a panic, on one line.
-fn text_of(cause: &(dyn Any + Send)) -> String {
+fn panic_message(cause: &(dyn Any + Send)) -> String {
     let text = cause.downcast_ref::<String>().map(String::as_str);
     text.or(cause.downcast_ref::<&str>().copied()).unwrap_or("panic").replace('\n', " ")
 }
 
 /// Writes the actions of an instance, and the message of a panic if there was one.
-fn write_actions(out: &mut impl Write, who: &str, actions: &[Action], bug: Option<String>) -> io::Result<()> {
-    if actions.is_empty() && bug.is_none() {
+fn write_actions(
+    out: &mut impl Write,
+    who: &str,
+    actions: &[Action],
+    panic_text: Option<String>,
+) -> io::Result<()> {
+    if actions.is_empty() && panic_text.is_none() {
         return Ok(());
     }
     writeln!(out, "AS who={who}")?;
     for action in actions {
         wire::write_action(out, action)?;
     }
-    bug.map_or(Ok(()), |text| writeln!(out, "BUG noteText={text}"))
+    panic_text.map_or(Ok(()), |text| writeln!(out, "BUG noteText={text}"))
 }
 
 #[cfg(test)]
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -247,17 +247,17 @@
 }
 
 /// Formats microseconds as milliseconds with three decimals.
-fn millis(micros: u64) -> String {
+fn format_millis(micros: u64) -> String {
     format!("{}.{:03}", micros / 1000, micros % 1000)
 }
 
 fn write_get(out: &mut impl Write, get: &Get) -> io::Result<()> {
     write!(out, "ANSWER_FROM handle={} server={} source={}", get.id, get.server, get.source)?;
     if let Some(at) = get.stop_at {
-        write!(out, " stopAtMs={}", millis(at.as_micros()))?;
+        write!(out, " stopAtMs={}", format_millis(at.as_micros()))?;
     }
     if let Some(age) = get.max_age {
-        write!(out, " howOldMs={}", millis(duration_micros(age)))?;
+        write!(out, " howOldMs={}", format_millis(duration_micros(age)))?;
     }
     let bits = u8::from(get.join_fill) + 2 * u8::from(get.cached_only) + 8 * u8::from(get.renew_stale);
     writeln!(out, " rank={} bits={bits}", get.rank)
@@ -268,11 +268,13 @@
     match action {
         Action::Get(get) => write_get(out, get),
         Action::Refuse { id, retry_after } => {
-            writeln!(out, "PUSH_BACK handle={id} stayAwayMs={}", millis(duration_micros(*retry_after)))
+            writeln!(out, "PUSH_BACK handle={id} stayAwayMs={}", format_millis(duration_micros(*retry_after)))
         }
         Action::Fail(id) => writeln!(out, "REPORT_FAILURE handle={id}"),
         Action::Cancel { id, attempt } => writeln!(out, "ABORT_ATTEMPT handle={id} attempt={attempt}"),
-        Action::Timer { at, mark } => writeln!(out, "WAKE_AT whenMs={} mark={mark}", millis(at.as_micros())),
+        Action::Timer { at, mark } => {
+            writeln!(out, "WAKE_AT whenMs={} mark={mark}", format_millis(at.as_micros()))
+        }
         Action::Watch => writeln!(out, "STREAM_CHANGES on=1"),
     }
 }
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -18,7 +18,7 @@
     child.wait_with_output().expect("ends")
 }
 
-fn create(who: &str) -> String {
+fn create_lines(who: &str) -> String {
     let info = INFO.replace('\n', "");
     format!("SELECT who={who}\nCREATE entropy=5 info={info}\nVIEW index=1 scope=remembered hosts=2\nROW server=11 site=0 shape=0 unitGroup=0 state=up units=1 extra=9\nROW server=30 site=0 shape=2 unitGroup=1 state=up units=1\n")
 }
@@ -34,8 +34,8 @@
     let arrival = "ARRIVAL handle=77 category=0 object=5 ttlMs=900.5 bytesK=40 unknown=1\n";
     let input = format!(
         "BATCH simTimeMs=10.5\n{}{}FLUSH\n\nBATCH simTimeMs=12\nSELECT who=router-2\n{arrival}FLUSH\n",
-        create("router-1"),
-        create("router-2")
+        create_lines("router-1"),
+        create_lines("router-2")
     );
     let out = replies(&input);
     let lines: Vec<&str> = out.lines().collect();
@@ -50,8 +50,8 @@
 fn a_killed_instance_starts_empty() {
     let input = format!(
         "BATCH simTimeMs=1\n{}ARRIVAL handle=7 category=0 object=5 ttlMs=900\nFLUSH\nBATCH simTimeMs=2\nSELECT who=router-1\nCRASH_NOW\n{}OUTCOME handle=7 attempt=0 server=11 outcome=13 delaySeenMs=1.0\nFLUSH\n",
-        create("router-1"),
-        create("router-1")
+        create_lines("router-1"),
+        create_lines("router-1")
     );
     let out = replies(&input);
     assert_eq!(out.matches("ANSWER_FROM").count(), 1, "{out}");
@@ -60,16 +60,20 @@
 
 #[test]
 fn many_instances_share_nothing() {
-    let ask = |who: &str| {
+    let request_lines = |who: &str| {
         format!("SELECT who={who}\nARRIVAL handle=7 category=0 object=5 ttlMs=900\nOUTCOME handle=7 attempt=0 server=11 outcome=13 delaySeenMs=1.0\n")
     };
-    let alone = replies(&format!("BATCH simTimeMs=1\n{}{}FLUSH\n", create("router-1"), ask("router-1")));
+    let alone = replies(&format!(
+        "BATCH simTimeMs=1\n{}{}FLUSH\n",
+        create_lines("router-1"),
+        request_lines("router-1")
+    ));
     let both = replies(&format!(
         "BATCH simTimeMs=1\n{}{}{}{}FLUSH\n",
-        create("router-0"),
-        ask("router-0"),
-        create("router-1"),
-        ask("router-1")
+        create_lines("router-0"),
+        request_lines("router-0"),
+        create_lines("router-1"),
+        request_lines("router-1")
     ));
     let tail = both.split_once("AS who=router-1").expect("both act").1;
     assert_eq!(alone.split_once("AS who=router-1").expect("acts").1, tail);
@@ -77,7 +81,7 @@
 
 #[test]
 fn malformed_lines_end_it_with_one_plain_message() {
-    let begun = format!("BATCH simTimeMs=1\n{}", create("router-1"));
+    let begun = format!("BATCH simTimeMs=1\n{}", create_lines("router-1"));
     for (before, line) in [
         (begun.as_str(), "ARRIVAL handle=abc category=0"),
         (&begun, "ARRIVAL handle=1"),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -196,15 +196,15 @@
     /// The limits for requests of the class with this index.
     pub fn limits_of(&self, class: usize) -> Limits {
         let (cancel, duplicates, max_retry_after) = (self.cancel, self.duplicates, self.max_retry_after);
-        let own = self.classes.get(class).and_then(|class| class.limits);
-        own.unwrap_or(Limits { cancel, duplicates, max_retry_after })
+        let class_limits = self.classes.get(class).and_then(|class| class.limits);
+        class_limits.unwrap_or(Limits { cancel, duplicates, max_retry_after })
     }
 
     /// The load of the location's link from a cache's load report, as transfers in flight over those that the
     /// link carries at full pace; none if the report lacks a valid value (`x1`).
     pub fn reported_link_load(&self, load: &[f64]) -> Option<f64> {
-        let at = self.report.iter().position(|name| name == "x1")?;
-        load.get(at).copied().filter(|v| v.is_finite() && *v >= 0.0)
+        let index = self.report.iter().position(|name| name == "x1")?;
+        load.get(index).copied().filter(|v| v.is_finite() && *v >= 0.0)
     }
 }
 
--- a/src/items.rs
+++ b/src/items.rs
@@ -63,11 +63,11 @@
         let Some(item) = self.items.get_mut(&key) else { return };
         let by_server = &mut self.by_server;
         item.hits.retain(|&(other, since)| {
-            let stays = other != server && now < since + life;
-            if !stays {
+            let is_retained = other != server && now < since + life;
+            if !is_retained {
                 by_server.remove(&(other, key));
             }
-            stays
+            is_retained
         });
         item.hits.push((server, now));
         by_server.insert((server, key));
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -157,8 +157,8 @@
 /// Moves per-class values to the slots of the classes in the new settings.
 fn carry_over<T: Copy + Default>(by_class: &mut Vec<T>, class_count: usize, replaced: &[ReplacedClass]) {
     by_class.resize(class_count, T::default());
-    let known_of = |class: &ReplacedClass| class.predecessor.map_or(T::default(), |slot| by_class[slot]);
+    let value_of = |class: &ReplacedClass| class.predecessor.map_or(T::default(), |slot| by_class[slot]);
     // Reads all values before writing any: a replaced slot may also be a predecessor.
-    let carried_over: Vec<T> = replaced.iter().map(known_of).collect();
-    replaced.iter().zip(carried_over).for_each(|(class, known)| by_class[class.slot] = known);
+    let carried_over: Vec<T> = replaced.iter().map(value_of).collect();
+    replaced.iter().zip(carried_over).for_each(|(class, value)| by_class[class.slot] = value);
 }
--- a/src/logic/candidates.rs
+++ b/src/logic/candidates.rs
@@ -164,8 +164,8 @@
 
     /// Mean number of transfers at full pace observed at the servers of a kind that are up.
     pub(super) fn mean_flows(&self, kind: usize) -> Option<f64> {
-        if let Some((known, flows)) = self.candidates.mean_flows.get() {
-            if known == kind {
+        if let Some((cached_kind, flows)) = self.candidates.mean_flows.get() {
+            if cached_kind == kind {
                 return flows;
             }
         }
@@ -178,8 +178,8 @@
 
     /// Mean rate of work sent to the parents, or the origins, that are up.
     pub(super) fn mean_rate(&self, kind: usize) -> Option<f64> {
-        if let Some((known, rate)) = self.candidates.mean_rate.get() {
-            if known == kind {
+        if let Some((cached_kind, rate)) = self.candidates.mean_rate.get() {
+            if cached_kind == kind {
                 return rate;
             }
         }
--- a/src/logic/ejection.rs
+++ b/src/logic/ejection.rs
@@ -43,13 +43,13 @@
 /// Attributes the failure of an attempt. A rejection without a note is attributed to the parent.
 pub(super) fn attribute_failure(outcome: &Outcome, attempt: &Attempt) -> Attribution {
     let Choice { edge, source, sibling, positive, .. } = attempt.choice;
-    let fill = source != edge && !positive.edge;
+    let needs_fill = source != edge && !positive.edge;
     let part = match (outcome.status, outcome.note) {
         (Status::Ok | Status::NeverSent | Status::Cancelled, _) | (_, Note::OriginFailed) => FailedPart::None,
         (_, Note::SourceRefused | Note::SourceLost) => FailedPart::Source,
         // A stalled fill also ends in an error, late. Attributed to the caches, such errors would eject all
         // caches of a location.
-        (Status::Error, _) if fill && outcome.latency >= attempt.response_timeout => FailedPart::Link,
+        (Status::Error, _) if needs_fill && outcome.latency >= attempt.response_timeout => FailedPart::Link,
         (Status::Error | Status::ConnectFailed | Status::Reset, _) => FailedPart::Edge,
         (Status::Full, Note::None) if source != edge && !sibling => FailedPart::Source,
         _ => FailedPart::None,
--- a/src/logic/recent_work.rs
+++ b/src/logic/recent_work.rs
@@ -6,10 +6,10 @@
 
 /// A share of a request without a stated size: a source counts only part of a request that may not reach it.
 #[derive(Debug, Clone, Copy)]
-struct UnsizedPart {
+struct UnsizedShare {
     class: usize,
     /// Share of the request's work, from 0 to 1.
-    part: f64,
+    share: f64,
     /// Whether it has been answered.
     is_answered: bool,
 }
@@ -21,15 +21,15 @@
     /// Work in microseconds, as estimated when it was sent.
     work: f64,
     /// None if the client stated the size.
-    unsized_part: Option<UnsizedPart>,
+    unsized_share: Option<UnsizedShare>,
 }
 
 impl SentRequest {
     /// Its work in microseconds by the present estimates; `work_of` gives that of a request of a class. Short
     /// answers arrive first, so a request that is not yet answered counts with no less than when it was sent.
     fn work(&self, work_of: &impl Fn(usize) -> f64) -> f64 {
-        let Some(UnsizedPart { class, part, is_answered }) = self.unsized_part else { return self.work };
-        let work = part * work_of(class);
+        let Some(UnsizedShare { class, share, is_answered }) = self.unsized_share else { return self.work };
+        let work = share * work_of(class);
         if is_answered {
             work
         } else {
@@ -47,7 +47,7 @@
 impl RecentWork {
     /// Adds a request with a stated size, as work in microseconds, and drops those older than the span.
     pub(super) fn add_sized(&mut self, work: f64, at: MonotonicTime, span: Duration) {
-        self.add(SentRequest { at, work, unsized_part: None }, span);
+        self.add(SentRequest { at, work, unsized_share: None }, span);
     }
 
     /// Adds a share (from 0 to 1) of a request of a class without a stated size. `work` is the share's
@@ -55,13 +55,13 @@
     pub(super) fn add_unsized(
         &mut self,
         class: usize,
-        part: f64,
+        share: f64,
         work: f64,
         at: MonotonicTime,
         span: Duration,
     ) {
-        let unsized_part = Some(UnsizedPart { class, part, is_answered: false });
-        self.add(SentRequest { at, work, unsized_part }, span);
+        let unsized_share = Some(UnsizedShare { class, share, is_answered: false });
+        self.add(SentRequest { at, work, unsized_share }, span);
     }
 
     fn add(&mut self, sent: SentRequest, span: Duration) {
@@ -75,7 +75,7 @@
     pub(super) fn answer(&mut self, class: usize, at: MonotonicTime) {
         let first = self.0.partition_point(|sent| sent.at < at);
         let sent_then = self.0.range_mut(first..).take_while(|sent| sent.at == at);
-        let mut parts = sent_then.filter_map(|sent| sent.unsized_part.as_mut());
+        let mut parts = sent_then.filter_map(|sent| sent.unsized_share.as_mut());
         if let Some(part) = parts.find(|part| part.class == class && !part.is_answered) {
             part.is_answered = true;
         }
@@ -101,9 +101,9 @@
     /// Fixes the work of the requests of a class, whose slot is about to be taken by another class.
     pub(super) fn settle(&mut self, class: usize, work_of_class: f64) {
         for sent in &mut self.0 {
-            if sent.unsized_part.is_some_and(|part| part.class == class) {
+            if sent.unsized_share.is_some_and(|part| part.class == class) {
                 sent.work = sent.work(&|_| work_of_class);
-                sent.unsized_part = None;
+                sent.unsized_share = None;
             }
         }
     }
--- a/src/logic/retry.rs
+++ b/src/logic/retry.rs
@@ -233,12 +233,12 @@
     /// Checks an overdue attempt. If its server has sent no response to any attempt since, records a failure
     /// and sends a hedged request or cancels the attempt: a server that accepts work without answering would
     /// hold requests until their clients give up. The cost: a merely slow server may be ejected for a moment.
-    fn check_overdue(&mut self, id: RequestId, hedge: bool, actions: &mut Vec<Action>) -> Overdue {
+    fn check_overdue(&mut self, id: RequestId, may_hedge: bool, actions: &mut Vec<Action>) -> Overdue {
         let Some(open) = self.open.get_mut(&id) else { return Overdue::Waiting };
         let single_attempt =
             self.settings.classes[open.req.class].effect == Effect::Unsafe || open.in_flight() > 1;
         let limits = self.settings.limits_of(open.req.class);
-        let last = open.attempts.len() as u64 - 1;
+        let last_index = open.attempts.len() as u64 - 1;
         let Some(attempt) = open.attempts.last_mut() else { return Overdue::Waiting };
         let (edge, source, sent) = (attempt.choice.edge, attempt.choice.source, attempt.sent);
         let first_run = attempt.as_first_run();
@@ -260,14 +260,14 @@
         if single_attempt {
             return Overdue::Waiting;
         }
-        if limits.duplicates && hedge {
+        if limits.duplicates && may_hedge {
             open.first_run.get_or_insert(first_run);
             self.advance(id, actions);
             return Overdue::Hedged;
         }
         if limits.cancel {
             attempt.cancelled = true;
-            actions.push(Action::Cancel { id, attempt: last });
+            actions.push(Action::Cancel { id, attempt: last_index });
         }
         Overdue::Waiting
     }
--- a/src/logic/state.rs
+++ b/src/logic/state.rs
@@ -53,8 +53,8 @@
         self.asked += 1;
         self.positive += u32::from(positive);
         if self.asked == epoch {
-            let seen = f64::from(self.positive) / f64::from(epoch);
-            self.q = Some(self.q.map_or(seen, |old| EPOCH_WEIGHT * seen + (1.0 - EPOCH_WEIGHT) * old));
+            let share = f64::from(self.positive) / f64::from(epoch);
+            self.q = Some(self.q.map_or(share, |old| EPOCH_WEIGHT * share + (1.0 - EPOCH_WEIGHT) * old));
             (self.asked, self.positive) = (0, 0);
         }
     }
@@ -64,8 +64,8 @@
     }
     /// Updates FP or FN with an indication and whether the cache had the object.
     pub(super) fn observe(&mut self, positive: bool, hit: bool) {
-        let wrong = if hit { &mut self.false_negatives } else { &mut self.false_positives };
-        wrong.add(f64::from(u8::from(positive != hit)), OBSERVATION_WEIGHT);
+        let error_rate = if hit { &mut self.false_negatives } else { &mut self.false_positives };
+        error_rate.add(f64::from(u8::from(positive != hit)), OBSERVATION_WEIGHT);
     }
 }
 
--- a/src/logic/subset.rs
+++ b/src/logic/subset.rs
@@ -42,8 +42,8 @@
     /// Adds a cache, or changes its weight; replaces at most one member of the subset.
     pub fn set(&mut self, router: u64, server: ServerId, weight: f64) {
         let rank = Rank::new(router, server);
-        if let Some(known) = self.others.get_mut(&rank) {
-            *known = weight;
+        if let Some(existing_weight) = self.others.get_mut(&rank) {
+            *existing_weight = weight;
             return;
         }
         self.add_member(rank, weight);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -681,7 +681,7 @@
 fn three_hundred_routers_share_a_cold_parents_budget_of_less_than_a_request_each() {
     let set = Settings { siblings: Siblings::None, routers: 300, zone_routers: vec![0, 7, 1], ..settings() };
     let mut rigs = independent_routers(300, &set, &all_hosts());
-    let mut usual = 0.0;
+    let mut usual_work = 0.0;
     let round = |rigs: &mut [TestRouter], step: u64, sent: &mut Vec<(u64, f64)>| {
         for rig in rigs.iter_mut() {
             rig.advance_ms(500);
@@ -692,7 +692,7 @@
     };
     let mut sent = Vec::new();
     (0..40).for_each(|step| round(&mut rigs, step, &mut sent));
-    usual += sent.iter().map(|&(_, w)| w).sum::<f64>() / 10.0;
+    usual_work += sent.iter().map(|&(_, w)| w).sum::<f64>() / 10.0;
     let mut back = host(50, 0, 1);
     back.started = rigs[0].now;
     rigs.iter_mut().for_each(|r| r.list(Scope::Changes, vec![back.clone()]));
@@ -700,7 +700,7 @@
     (40..50).for_each(|step| round(&mut rigs, step, &mut sent));
     let most = max_work_in_a_span(&sent);
     // The bound: twice its share of capacity after 5 s (0.06 + 0.94 x 5 / 22) of its usual work in 2 s.
-    assert!(most > 0.0 && most < 2.0 * 0.27 * usual, "{most} of {usual} ms in a span");
+    assert!(most > 0.0 && most < 2.0 * 0.27 * usual_work, "{most} of {usual_work} ms in a span");
 }
 
 #[test]
@@ -756,22 +756,23 @@
 fn fills_are_withheld_while_parents_fail_and_resumed_after_their_recovery() {
     for note in [Note::SourceRefused, Note::None] {
         let mut rig = TestRouter::new(Settings { siblings: Siblings::None, ..settings() }, all_hosts());
-        let (mut attempts, mut looks) = (0, 0);
+        let (mut attempts, mut attempts_without_fill) = (0, 0);
         for object in 0..200 {
             rig.advance_ms(50);
             let mut sent = sent_attempt(&rig.ask(object));
             let mut tries = 0;
             while let Some(get_) = sent.take() {
                 attempts += 1;
-                let look = get_.cached_only || get_.source == get_.server;
-                looks += usize::from(look);
-                let (status, note) = if look { (Status::Miss, Note::None) } else { (Status::Full, note) };
+                let without_fill = get_.cached_only || get_.source == get_.server;
+                attempts_without_fill += usize::from(without_fill);
+                let (status, note) =
+                    if without_fill { (Status::Miss, Note::None) } else { (Status::Full, note) };
                 sent = sent_attempt(&rig.answer(tries, status, note));
                 tries += 1;
             }
         }
         assert!(attempts < 240, "{attempts} attempts for 200 requests");
-        assert!(looks > 100, "{looks} attempts without a fill");
+        assert!(attempts_without_fill > 100, "{attempts_without_fill} attempts without a fill");
         let filled = (1000..1200).filter(|&object| {
             rig.advance_ms(50);
             let sent = sent_attempt(&rig.ask(object)).expect("sent");
