--- a/crates/distribution/src/configuration/gateway.rs
+++ b/crates/distribution/src/configuration/gateway.rs
@@ -10,7 +10,7 @@
 const MAX_IGNORED: usize = 64;
 
 /// Rejection reason of a version that the table ignored at its limit.
-const IGNORED_REASON: &str = "documents: limit on the number or size of documents exceeded";
+const IGNORED_REASON: &str = "documents: too many documents or bytes of them";
 
 /// A change of the version in force of one document.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
