--- a/crates/cluster/src/fleet_file.rs
+++ b/crates/cluster/src/fleet_file.rs
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first key whose value is out of range.
+    /// Returns an error that names the first key whose value is out of range.
     pub fn check(&self) -> Result<(), FleetFileError> {
         check_range("pause_ms", self.pause_ms, PAUSE_MS)?;
         check_range("period_ms", self.period_ms, PERIOD_MS)?;
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -9,9 +9,9 @@
 //!   at least all nodes that existed when the `sync` was sent.
 //! * L2 A gateway whose node was created uses the pool only [`EXPIRY_WAIT`] later: by then every lease granted on a
 //!   view without it has expired.
-//! * L3 A deleted node is counted for [`EXPIRY_WAIT`] more: by then every lease of its gateway has expired, however its
-//!   session ended. A node that was created and deleted during a disconnection was never seen; therefore a gateway
-//!   that has read all nodes again uses the pool only [`EXPIRY_WAIT`] later, too.
+//! * L3 A deleted node is counted for [`EXPIRY_WAIT`] more: by then every lease of its gateway has expired, however
+//!   its session ended and whoever ended it. A node that was created and deleted during a disconnection was never
+//!   seen; therefore a gateway that has read all nodes again uses the pool only [`EXPIRY_WAIT`] later, too.
 //!
 //! So each gateway that uses the pool is in the views of all others that use it, and each view counts at least as many
 //! nodes as there are users.
--- a/crates/cluster/src/wire/tests.rs
+++ b/crates/cluster/src/wire/tests.rs
@@ -8,12 +8,12 @@
     let envelope = Envelope { kind: MessageKind::Load, from: 513, body: &[7; MAX_BODY_BYTES] };
     assert_eq!(decode(&datagram), Ok(envelope));
     for length in 0..datagram.len() {
-        assert!(decode(&datagram[..length]).is_err(), "cut at {length}");
+        assert!(decode(&datagram[..length]).is_err(), "truncated to {length} bytes");
     }
     for bit in 0..datagram.len() * 8 {
         let mut corrupt = datagram.clone();
         corrupt[bit / 8] ^= 1 << (bit % 8);
-        assert!(decode(&corrupt).is_err(), "bit {bit}");
+        assert!(decode(&corrupt).is_err(), "bit {bit} flipped");
     }
     let mut newer = datagram[..CHECKED_HEADER_BYTES].to_vec();
     newer[2] = 2;
--- a/crates/cluster/tests/histories.rs
+++ b/crates/cluster/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of the fleet's state at one gateway: whatever comes, in whatever order, the invariants of
-//! `docs/design/fleet.md` hold.
+//! Property tests with random sequences of inputs to one gateway's failure detector, lease and health gossip: the
+//! invariants of `docs/design/fleet.md` must hold for any input in any order.
 use larchway::MonotonicTime;
 use larchway_cluster::failure_detector::{FailureDetector, Input, MemberState, Output, STATE_HOLD};
 use larchway_cluster::lease::{ClusterSize, Input as LeaseInput, Lease, LeaseSettings, EXPIRY_WAIT};
@@ -41,7 +41,7 @@
     proptest::collection::vec(step, 1..120)
 }
 
-/// The state that a claim has for an arbitrary byte on the wire.
+/// The claimed state for an arbitrary byte on the wire; `None` for a member that is not suspected.
 fn claimed_state(byte: Option<u8>) -> ClaimedState {
     match byte {
         None => ClaimedState::Unsuspected,
@@ -53,8 +53,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// M5, M9: no bytes of others make a gateway send more than it may, name members that do not exist, suspect itself,
-    /// or change the state of one incarnation twice within 10 s, but for one that reports its own pause.
+    /// M5, M9: whatever bytes other members send, a gateway does not exceed its send budget, name members that do not
+    /// exist, suspect itself, or change the state of one incarnation twice within 10 s unless it reports its own pause.
     #[test]
     fn messages_of_others_never_make_a_gateway_exceed_its_bounds(steps in steps()) {
         let mut now = START;
@@ -88,7 +88,7 @@
                     };
                     let kind = if ping { MessageKind::Ping } else { MessageKind::Ack };
                     let datagram = encode(kind, sender, &gossip.encode());
-                    let envelope = decode(&datagram).expect("an envelope");
+                    let envelope = decode(&datagram).expect("a valid envelope");
                     reports_pause = paused;
                     detector.handle(now, Input::Received { kind, from: sender, body: envelope.body }, &mut outputs);
                 }
@@ -147,8 +147,9 @@
         }
     }
 
-    /// L1, L2: without an answer to a sync asked for after the own node was made, and the wait, nothing lent is used;
-    /// and what may be used is never under the floor nor over the floor and the whole pool.
+    /// L1, L2: the pool is used only after the own node has existed for the first-use delay and while a `sync` sent
+    /// after its creation was answered within the lease. The share is never below the floor, nor above the floor plus
+    /// the pool.
     #[test]
     fn a_lease_is_held_only_after_the_first_use_delay_and_with_an_answered_sync(
         events in proptest::collection::vec((0u8..9, 0usize..6, 1u64..1500), 1..80)
@@ -165,7 +166,11 @@
                 4 => LeaseInput::NodeGone(format!("g{gateway}")),
                 5 => LeaseInput::RereadStarted,
                 6 => LeaseInput::RereadComplete,
-                7 => { let sent_at = now - Duration::from_millis(1); synced_at = Some(sent_at); LeaseInput::Synced(sent_at) }
+                7 => {
+                    let sent_at = now - Duration::from_millis(1);
+                    synced_at = Some(sent_at);
+                    LeaseInput::Synced(sent_at)
+                }
                 _ => { registered_at = registered_at.map(|_| now); synced_at = None; LeaseInput::Rewound }
             };
             lease.handle(now, input);
@@ -174,14 +179,17 @@
             prop_assert!(of_all >= 0.5 / 6.0 - 1e-9 && of_own_zone >= 0.5 / 6.0 - 1e-9);
             prop_assert!(of_all <= 0.5 / 6.0 + 0.5 + 1e-9 && of_own_zone <= 0.5 / 6.0 + 0.5 + 1e-9);
             if lease.is_held(&settings, now) {
-                prop_assert!(registered_at.is_some_and(|at| at + EXPIRY_WAIT <= now), "before the wait");
-                prop_assert!(synced_at.is_some_and(|at| now < at + settings.lease), "after the lease");
+                prop_assert!(
+                    registered_at.is_some_and(|at| at + EXPIRY_WAIT <= now),
+                    "lease held before the first-use delay is over"
+                );
+                prop_assert!(synced_at.is_some_and(|at| now < at + settings.lease), "lease held after it has expired");
             }
         }
     }
 
-    /// A datagram of health reports is decoded completely or not at all, each report is new once within its lifetime,
-    /// and what is forwarded is bounded.
+    /// A datagram of health reports is decoded completely or not at all, each report is new only once within its
+    /// lifetime, and the number of forwarded reports is bounded.
     #[test]
     fn health_reports_of_others_stay_bounded(datagrams in proptest::collection::vec(
         proptest::collection::vec(any::<u8>(), 0..260), 1..40)) {
@@ -199,8 +207,8 @@
     }
 }
 
-/// Found by the histories above: while a larger tier is rolled out, a peer names members that this gateway knows
-/// nothing of.
+/// While a larger tier is rolled out, a peer with the newer configuration makes claims about members that this
+/// gateway's configuration does not contain. Found by the property test above.
 #[test]
 fn a_peer_that_knows_of_more_members_is_answered() {
     let mut detector = FailureDetector::new(START, FleetFile::default(), 3, 12, 7);
@@ -213,7 +221,7 @@
     let mut outputs = Vec::new();
     detector.handle(START, Input::Received { kind: MessageKind::Ping, from: 0, body: &gossip }, &mut outputs);
     assert!(matches!(outputs[..], [Output::Send { to: 0, kind: MessageKind::Ack, .. }]), "{outputs:?}");
-    // And one that was asked to reach a member is configured with fewer before that one answers.
+    // The configuration shrinks while an indirect probe of a member that it removes is in flight.
     detector.handle(
         START,
         Input::Received { kind: MessageKind::IndirectPing, from: 0, body: &11u16.to_be_bytes() },
--- a/crates/cluster/tests/lease_model.rs
+++ b/crates/cluster/tests/lease_model.rs
@@ -1,15 +1,16 @@
-//! Invariants L1 to L3 of `docs/design/fleet.md` by exhaustion: gateways with the lease as the program has it, an
-//! ensemble, time, and whatever can go wrong between them, in every order. Planted faults must be found.
+//! Model checking of invariants L1 to L3 of `docs/design/fleet.md`: gateways that run the production lease code, an
+//! ensemble, a clock, and pauses, crashes, delays and disconnections in every order. The checker must also find
+//! deliberately planted faults.
 use larchway::MonotonicTime;
 use larchway_cluster::lease::{ClusterSize, Input, Lease, LeaseSettings};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// One tick of a world.
+/// The time step of the model.
 const TICK: Duration = Duration::from_micros(1);
 
-/// A world of so many gateways, for so many ticks; `stale`: one that wakes goes by the time it fell asleep at.
+/// The parameters of a model.
 #[derive(Clone)]
 struct LeaseModel {
     gateways: usize,
@@ -17,10 +18,11 @@
     first_use_delay: Duration,
     lease: Duration,
     deleted_node_hold: Duration,
+    /// Whether a resumed gateway still uses the time at which it was paused (a planted fault).
     stale_clock: bool,
-    /// Pauses, kills and broken connections at most.
+    /// Greatest number of pauses, kills and disconnections.
     faults: u8,
-    /// Whether nodes are deleted by hand under sessions that live.
+    /// Whether nodes are deleted manually while their sessions live.
     manual_deletes: bool,
 }
 
@@ -28,32 +30,34 @@
 struct Gateway {
     up: bool,
     paused: bool,
-    /// Which of its processes this is: what is sent to an earlier one reaches nobody.
+    /// Counts the process's restarts; messages to an earlier incarnation are lost.
     incarnation: u8,
     lease: Lease,
-    /// The time of its last turn.
+    /// When it last handled an input; used as its clock in models with a stale clock.
     handled_at: MonotonicTime,
-    /// What is on its way to it, in order; and when it asked for a sync that has not reached the ensemble yet.
+    /// Batches of inputs on the way to it, in order.
     inbox: VecDeque<Vec<Input>>,
+    /// When it sent a sync that has not reached the ensemble yet.
     syncing: Option<MonotonicTime>,
+    /// When it last sent a sync.
     synced_at: MonotonicTime,
     connected: bool,
-    /// Whether it knows of its own node.
+    /// Whether it knows that its own node exists.
     registered: bool,
 }
 
-/// A session as the ensemble has it: of which life.
+/// A session in the ensemble, identified by the incarnation of the gateway that opened it.
 type Session = u8;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: MonotonicTime,
     gateways: Vec<Gateway>,
-    /// By gateway, the session that owns its node.
+    /// The session that owns the node of each gateway.
     nodes: BTreeMap<usize, Session>,
-    /// Pauses, kills and broken connections so far.
+    /// Number of pauses, kills and disconnections so far.
     faults: u8,
-    /// Sessions ended so far.
+    /// Number of sessions ended, or nodes deleted manually, so far.
     ended_sessions: u8,
 }
 
@@ -95,19 +99,19 @@
     format!("g{id}")
 }
 
-/// A gateway's node exists; all are of one zone.
+/// The event that a gateway's node exists; all gateways are in one zone.
 fn node_appeared(id: usize) -> Input {
     Input::NodeAppeared { name: node_name(id), zone: 0 }
 }
 
 impl State {
-    /// Tells all that are connected, and watch, of a node.
+    /// Sends an event to all connected gateways.
     fn notify(&mut self, input: &Input) {
         for gateway in self.gateways.iter_mut().filter(|gateway| gateway.up && gateway.connected) {
             gateway.inbox.push_back(vec![input.clone()]);
         }
     }
-    /// All nodes are read on a new connection, and the own one is made or looked at.
+    /// On a new connection, the gateway reads all nodes and registers its own.
     fn reread_nodes(&mut self, id: usize) {
         let mut inputs = vec![Input::RereadStarted];
         inputs.extend(self.nodes.keys().map(|id| node_appeared(*id)));
@@ -119,7 +123,7 @@
         gateway.inbox.clear();
         gateway.inbox.push_back(inputs);
     }
-    /// What a gateway uses now, of what all divide.
+    /// The share that a gateway uses now.
     fn used_share(&self, model: &LeaseModel, id: usize) -> f64 {
         let gateway = &self.gateways[id];
         if !gateway.up || gateway.paused {
@@ -162,9 +166,9 @@
         }
         for (id, gateway) in state.gateways.iter().enumerate() {
             let session = state.nodes.get(&id);
-            // The gateways are alike, so faults of one of them are enough; what is told to the other may be late.
+            // The gateways are symmetric, so faults of one of them suffice; events to the other may be delayed.
             let may_fail = id == 0 && state.faults < self.faults;
-            // Sessions end when the ensemble will, also under a gateway that lives; once is enough.
+            // The ensemble may end a session at any time, also that of a running gateway; once suffices.
             if session.is_some() && state.ended_sessions < 1 {
                 actions.push(Action::ExpireSession(id));
                 if self.manual_deletes && gateway.connected {
@@ -183,7 +187,7 @@
                 continue;
             }
             match gateway.connected {
-                // The node of an earlier life stands in the way until its session is over.
+                // The node of an earlier incarnation prevents registration until its session has ended.
                 false if session.is_none_or(|incarnation| *incarnation == gateway.incarnation) => {
                     actions.push(Action::Connect(id));
                 }
@@ -227,10 +231,10 @@
                 let incarnation = state.gateways[id].incarnation;
                 let is_new_node = state.nodes.insert(id, incarnation).is_none();
                 if is_new_node {
-                    // A gateway asks for a new session when it knows that the last one is over.
+                    // A gateway opens a new session once it knows that the last one has ended.
                     state.gateways[id].lease.handle(now, Input::SessionEnded);
                     state.gateways[id].registered = false;
-                    // Those that are connected hear of it; the own one reads all.
+                    // Connected gateways are notified; the connecting one reads all nodes below.
                     state.notify(&node_appeared(id));
                 }
                 state.gateways[id].connected = true;
@@ -274,14 +278,14 @@
             Action::ExpireSession(id) => {
                 state.nodes.remove(&id)?;
                 state.ended_sessions += 1;
-                // Whoever owned it hears nothing more on that session.
+                // The gateway receives nothing more in that session.
                 let gateway = &mut state.gateways[id];
                 (gateway.connected, gateway.syncing) = (false, None);
                 gateway.inbox.clear();
                 state.notify(&Input::NodeGone(node_name(id)));
             }
             Action::DeleteNode(id) => {
-                // By somebody's hand: the session lives, and the gateway hears of it as the others do.
+                // An operator deletes the node: the session lives on, and the gateway is notified like the others.
                 state.nodes.remove(&id)?;
                 state.ended_sessions += 1;
                 state.notify(&Input::NodeGone(node_name(id)));
@@ -309,15 +313,18 @@
                 (0..model.gateways).map(|id| state.used_share(model, id)).sum::<f64>() <= 1.0 + 1e-9
             }),
             Property::sometimes(
-                "one takes up all that the other left",
+                "one gateway uses all shares after the other has stopped",
                 |model: &LeaseModel, state: &State| {
                     (0..model.gateways).any(|id| state.used_share(model, id) > 0.99)
                         && state.gateways.iter().any(|gateway| gateway.incarnation > 0 || !gateway.up)
                 },
             ),
-            Property::sometimes("all use their parts at once", |model: &LeaseModel, state: &State| {
-                (0..model.gateways).all(|id| state.used_share(model, id) > 0.0)
-            }),
+            Property::sometimes(
+                "all gateways use leased shares at the same time",
+                |model: &LeaseModel, state: &State| {
+                    (0..model.gateways).all(|id| state.used_share(model, id) > 0.0)
+                },
+            ),
         ]
     }
 }
@@ -330,11 +337,11 @@
     }
     let is_violated = violation.is_some();
     if !is_violated {
-        // What can never be reached would make the first property true of nothing.
+        // Without these states the first property would hold trivially.
         if model.faults > 0 {
-            checker.assert_any_discovery("one takes up all that the other left");
+            checker.assert_any_discovery("one gateway uses all shares after the other has stopped");
         }
-        checker.assert_any_discovery("all use their parts at once");
+        checker.assert_any_discovery("all gateways use leased shares at the same time");
     }
     (is_violated, checker.unique_state_count())
 }
@@ -354,10 +361,10 @@
 #[test]
 fn shares_never_sum_to_more_than_one_whatever_is_lost_paused_killed_or_late() {
     let (is_violated, states) = check(CORRECT);
-    assert!(!is_violated, "of {states} states");
-    assert!(states > 10_000, "only {states} states");
+    assert!(!is_violated, "shares exceed 1; {states} states explored");
+    assert!(states > 10_000, "only {states} states explored");
     let (is_violated, states) = check(MANUAL_DELETES);
-    assert!(!is_violated, "of {states} states");
+    assert!(!is_violated, "shares exceed 1; {states} states explored");
 }
 
 #[test]
--- a/crates/cluster/tests/lease_nodes.rs
+++ b/crates/cluster/tests/lease_nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes that a lease counts: against a naive model that walks over all of them, and at the bound.
+//! The node counts of a lease, compared with a naive model that walks over all nodes, and at the limit of stored nodes.
 use larchway::{duration_micros, MonotonicTime};
 use larchway_cluster::lease::{ClusterSize, Input, Lease, LeaseSettings, NodeCounts, EXPIRY_WAIT, MAX_NODES};
 use larchway_cluster::FleetFile;
@@ -10,7 +10,7 @@
 const OWN_ZONE: usize = 1;
 const UNKNOWN_ZONE: usize = usize::MAX;
 
-/// What a lease counts, by walking over all nodes each time.
+/// A naive model of the node counts, which walks over all nodes each time.
 #[derive(Default)]
 struct NaiveNodes {
     nodes: BTreeMap<String, (usize, Option<MonotonicTime>)>,
@@ -74,7 +74,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
-    /// L3: the counts are those of a walk over all nodes, at every hold, whatever comes and goes in whatever order.
+    /// L3: the counts equal those of a walk over all nodes, for any hold and any order of events.
     #[test]
     fn node_counts_match_a_naive_model(
         steps in proptest::collection::vec((0u64..1_200_000, input()), 1..150),
@@ -85,7 +85,12 @@
         let (mut lease_under_test, mut naive, mut now) = (lease(), NaiveNodes::default(), START);
         for (wait_micros, input) in steps {
             now += Duration::from_micros(wait_micros);
-            prop_assert_eq!(lease_under_test.node_counts(&settings, now), naive.counts(now, hold), "before {:?}", &input);
+            prop_assert_eq!(
+                lease_under_test.node_counts(&settings, now),
+                naive.counts(now, hold),
+                "before {:?}",
+                &input,
+            );
             naive.handle(now, &input);
             lease_under_test.handle(now, input);
             prop_assert_eq!(lease_under_test.node_counts(&settings, now), naive.counts(now, hold));
@@ -94,10 +99,10 @@
     }
 }
 
-/// What is beyond the bound is not kept, but counted: the share of each gets smaller, never larger.
+/// Nodes beyond the limit are not stored, but counted, so that each gateway's share gets smaller, never larger.
 #[test]
 fn nodes_beyond_the_limit_are_counted_but_not_stored() {
-    const { assert!(MAX_NODES > 12_000, "the fleet of two years has to fit") };
+    const { assert!(MAX_NODES > 12_000, "the nodes of 12,000 gateways must fit") };
     let settings = LeaseSettings::from_file(&FleetFile::default());
     let mut lease = lease();
     for number in 0..MAX_NODES + 100 {
@@ -105,10 +110,10 @@
     }
     assert_eq!(lease.node_count(), MAX_NODES);
     assert_eq!(lease.node_counts(&settings, START).all, MAX_NODES as u64 + 100);
-    // One that is kept and told of again is no further one.
+    // A stored node that appears again is not counted twice.
     lease.handle(START, node_appeared("g7", 7));
     assert_eq!(lease.node_counts(&settings, START).all, MAX_NODES as u64 + 100);
-    // Room is there again once one that went has stopped counting.
+    // A new node can be stored once a deleted one is no longer counted.
     lease.handle(START, Input::NodeGone("g7".into()));
     lease.handle(START + EXPIRY_WAIT, node_appeared("new", 7));
     assert_eq!(lease.node_count(), MAX_NODES);
--- a/crates/cluster/tests/scale.rs
+++ b/crates/cluster/tests/scale.rs
@@ -1,5 +1,5 @@
-//! What a gateway spends on the others, counted in fleets of n, 4n and 16n: no time is measured, so the verdict is the
-//! same each time.
+//! The cost per gateway in fleets of n, 4n and 16n gateways. Datagrams, bytes and comparisons are counted instead of
+//! measuring time, so the results are deterministic.
 use larchway::MonotonicTime;
 use larchway_cluster::failure_detector::{FailureDetector, Input, Output};
 use larchway_cluster::lease::nodes::Nodes;
@@ -12,48 +12,50 @@
 use std::time::Duration;
 
 const START: MonotonicTime = MonotonicTime::from_micros(1_000_000_000);
-/// Members in the smallest tier: with fewer, a datagram has room for all of them, and is shorter.
+/// Members in the smallest tier. With fewer, all fit into one datagram, which is then shorter.
 const SMALLEST_TIER: usize = 80;
-/// How long a tier is played, and a datagram is on its way.
+/// Simulated time of a tier.
 const SIMULATED_TIME: Duration = Duration::from_secs(6);
+/// Transit time of a datagram.
 const TRANSIT_TIME: Duration = Duration::from_millis(1);
-/// The least time between two moments.
+/// Shortest time between two ticks of a member.
 const MIN_TIME_STEP: Duration = Duration::from_micros(1);
-/// Growth allowed from n to 4n, and from 4n to 16n: of datagrams and bytes by the chance of a short time, of memory by
-/// what does not depend on n.
+/// Allowed growth of datagrams and bytes per member from n to 4n, and from 4n to 16n members: they vary randomly in a
+/// short simulation.
 const MAX_CONSTANT_GROWTH: f64 = 1.1;
+/// Allowed growth of memory from n to 4n, and from 4n to 16n: a part of it does not depend on n.
 const LINEAR_GROWTH: std::ops::RangeInclusive<f64> = 3.6..=4.4;
-/// Comparisons more that a change may cost for each fourfold number of nodes: an ordered map of four times as many is
-/// at most one level deeper, and a level has at most 11 keys; a change goes through six maps.
+/// Allowed additional comparisons per change when the number of nodes grows fourfold: an ordered map of four times the
+/// size is at most one level deeper, a level has at most 11 keys, and a change searches six maps.
 const COMPARISONS_PER_LEVEL: f64 = 6.0 * 11.0;
 
-/// What one member spent on average, in a second.
+/// Average traffic of a member per second, and its memory.
 struct MemberUsage {
     datagrams: f64,
     bytes: f64,
     memory_bytes: usize,
 }
 
-/// A datagram on its way.
+/// A datagram in transit.
 struct Datagram {
     from: u16,
     kind: MessageKind,
     body: Vec<u8>,
 }
 
-/// What happens to a member: a datagram comes, or it is time.
+/// An event of a member: a datagram arrives, or a tick if there is none.
 struct Event {
     member: usize,
     datagram: Option<Datagram>,
 }
 
-/// A calm tier in virtual time.
+/// Simulates a tier without faults in virtual time.
 fn simulate(members: usize) -> MemberUsage {
     let file = FleetFile::default();
     let mut tier: Vec<FailureDetector> = (0..members)
         .map(|member| FailureDetector::new(START, file.clone(), member as u16, members, 7 + member as u64))
         .collect();
-    // By time, and within a moment in the order in which they were found out.
+    // Ordered by time, and at the same time in the order of their creation.
     let mut events: BTreeMap<(MonotonicTime, u64), Event> =
         (0..members).map(|member| ((START, member as u64), Event { member, datagram: None })).collect();
     let (mut next_sequence, mut datagrams, mut bytes) = (members as u64, 0, 0);
@@ -92,7 +94,7 @@
     }
 }
 
-/// M9: datagrams and bytes of a member stay the same; its memory grows as the tier does, and no faster.
+/// M9: datagrams and bytes per member do not grow with the tier, and its memory grows linearly.
 #[test]
 fn traffic_per_member_is_independent_of_the_tier_size_and_memory_is_linear() {
     let usages = [1, 4, 16].map(|times| simulate(times * SMALLEST_TIER));
@@ -100,13 +102,18 @@
         let (small, large) = (&pair[0], &pair[1]);
         assert!(
             large.datagrams <= small.datagrams * MAX_CONSTANT_GROWTH,
-            "{} {}",
+            "{} {} datagrams",
             small.datagrams,
             large.datagrams
         );
         assert!(large.bytes <= small.bytes * MAX_CONSTANT_GROWTH, "{} {} bytes", small.bytes, large.bytes);
         let growth = large.memory_bytes as f64 / small.memory_bytes as f64;
-        assert!(LINEAR_GROWTH.contains(&growth), "{} {} bytes held", small.memory_bytes, large.memory_bytes);
+        assert!(
+            LINEAR_GROWTH.contains(&growth),
+            "{} {} bytes of memory",
+            small.memory_bytes,
+            large.memory_bytes
+        );
     }
 }
 
@@ -114,7 +121,7 @@
     static COMPARISONS: Cell<u64> = const { Cell::new(0) };
 }
 
-/// The name of a node, which counts how often it is compared.
+/// The name of a node, which counts comparisons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct CountedName(u64);
 
@@ -131,11 +138,11 @@
     }
 }
 
-/// Names compared for one node that goes and comes back, while as many others have gone as `deleted`.
+/// Comparisons of names per node that is deleted and added again, while `deleted` other nodes are deleted.
 fn comparisons_per_change(nodes: u64, deleted: u64) -> f64 {
     let mut nodes_under_test = Nodes::default();
     (0..nodes).for_each(|name| nodes_under_test.insert(CountedName(name), name as usize % 110));
-    // Those that went stand in one moment, so that they are told apart by their names.
+    // All are deleted at the same time, so that they are ordered by their names.
     (0..deleted).for_each(|name| nodes_under_test.mark_deleted(START, &CountedName(name)));
     let changes = nodes.min(500);
     let before = COMPARISONS.get();
@@ -149,20 +156,20 @@
     (COMPARISONS.get() - before) as f64 / changes as f64
 }
 
-/// A node that comes or goes touches a logarithm of those that are there.
+/// The cost of adding or deleting a node grows logarithmically with the number of nodes.
 #[test]
 fn adding_or_deleting_a_node_takes_logarithmically_many_comparisons() {
     for deletion_divisor in [u64::MAX, 2] {
         let cost =
             [1_000, 4_000, 16_000].map(|nodes| comparisons_per_change(nodes, nodes / deletion_divisor));
         for pair in cost.windows(2) {
-            assert!(pair[1] <= pair[0] + COMPARISONS_PER_LEVEL, "{pair:?} names compared a change");
+            assert!(pair[1] <= pair[0] + COMPARISONS_PER_LEVEL, "{pair:?} comparisons per change");
         }
     }
 }
 
-/// What has expired is dropped with the next input, whatever it is: a share looks at none of it, in a fleet of any
-/// size.
+/// Expired nodes are removed with the next input of any kind, so that computing a share does not walk over them,
+/// however large the fleet.
 #[test]
 fn expired_nodes_are_removed_with_the_next_input() {
     let settings = LeaseSettings::from_file(&FleetFile::default());
--- a/crates/cluster/tests/tiers/fleet_simulation.rs
+++ b/crates/cluster/tests/tiers/fleet_simulation.rs
@@ -1,5 +1,5 @@
-//! A small fleet of memberships in tiers in virtual time, for the tests: links with losses and cuts, processes that
-//! are paused, killed and started again.
+//! Simulation of a small fleet with tiered membership in virtual time: links lose datagrams or are cut, processes are
+//! paused, killed and restarted.
 use larchway::{mix, MonotonicTime};
 use larchway_cluster::tiers::{Input, Output, SitePlace, Tier, TieredMembership, Topology};
 use larchway_cluster::wire::{MessageKind, MAX_BODY_BYTES};
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 pub const START: MonotonicTime = MonotonicTime::from_micros(1_000_000_000);
-/// The least time between two moments.
+/// Shortest time between two ticks of a process.
 const MIN_TIME_STEP: Duration = Duration::from_micros(1);
-/// A datagram is on its way for so many µs at least, and up to so many more.
+/// Shortest transit time of a datagram, and the range of the random time added to it, in µs.
 const MIN_TRANSIT_MICROS: u64 = 300;
 const TRANSIT_JITTER_MICROS: u64 = 4_000;
-/// Steps in which a share is drawn.
+/// Resolution of the share of lost datagrams.
 const LOSS_STEPS: u64 = 1_000;
 
-/// A fleet of regions of zones of sites of members, all alike.
+/// The shape of a fleet: the number of regions, zones per region, sites per zone and members per site.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
     pub regions: usize,
@@ -36,15 +36,15 @@
             members: (site * self.members..(site + 1) * self.members).map(|member| member as u16).collect(),
         };
         let places: Vec<SitePlace> = (0..sites).map(place).collect();
-        Topology::new(&places, sites * self.members).expect("a topology")
+        Topology::new(&places, sites * self.members).expect("a valid topology")
     }
 }
 
-/// A datagram on its way, or none: it is time.
+/// An event of a process: a datagram arrives, or a tick if there is none.
 struct Event {
     to: u16,
     datagram: Option<(u16, MessageKind, Vec<u8>)>,
-    /// The process that a tick is for.
+    /// The incarnation of the process that a tick is for; ignored for datagrams.
     incarnation: u64,
 }
 
@@ -59,13 +59,13 @@
     pub topology: Arc<Topology>,
     pub processes: Vec<Process>,
     pub now: MonotonicTime,
-    /// Share of datagrams lost, in thousandths.
+    /// Share of lost datagrams, in thousandths.
     pub loss_per_mille: u64,
-    /// Links that carry nothing, from and to.
+    /// Links that lose all datagrams, as sender and recipient.
     pub cut_links: Vec<(u16, u16)>,
     pub datagrams: u64,
     pub bytes: u64,
-    /// Living members that were declared dead by one of their site.
+    /// Live members that were declared dead, as observer and member.
     pub false_deaths: Vec<(u16, u16)>,
     events: BTreeMap<(MonotonicTime, u64), Event>,
     next_event_number: u64,
@@ -148,7 +148,7 @@
         self.processes[usize::from(member)].membership.is_some()
     }
 
-    /// Plays for a time; after each event the check sees the fleet.
+    /// Runs the fleet for a time; calls `check` after each handled event.
     pub fn run_for(&mut self, span: Duration, mut check: impl FnMut(&Fleet)) {
         let end = self.now + span;
         while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 < end) {
@@ -161,7 +161,7 @@
         self.now = end;
     }
 
-    /// Returns whether anybody handled it.
+    /// Handles an event; returns whether a running process received it.
     fn handle(&mut self, event: Event) -> bool {
         let Event { to, datagram, incarnation } = event;
         let now = self.now;
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Who holds the lease of a group now, by real time: those that are paused too.
+    /// The holders of a group's lease at the present time, including paused processes.
     pub fn holders(&self, tier: Tier, group: u16) -> Vec<u16> {
         let holds = |member: &u16| {
             let membership = self.processes[usize::from(*member)].membership.as_ref();
@@ -222,14 +222,14 @@
         (0..self.processes.len() as u16).filter(holds).collect()
     }
 
-    /// Members of a group that live.
+    /// The number of running members of a group, including paused ones.
     pub fn live_members(&self, tier: Tier, group: u16) -> u16 {
         let is_live =
             |member: &u16| self.topology.group_of(tier, *member) == Some(group) && self.is_alive(*member);
         (0..self.processes.len() as u16).filter(is_live).count() as u16
     }
 
-    /// Calls for each number that each running gateway knows: the gateway, tier, group, and the numbers.
+    /// Calls a function for each count that each running, unpaused gateway knows, with gateway, tier, group and count.
     pub fn for_each_count(&self, mut call: impl FnMut(u16, Tier, u16, larchway_cluster::tiers::Count)) {
         for (member, process) in self.processes.iter().enumerate() {
             let member = member as u16;
--- a/crates/cluster/tests/tiers/histories.rs
+++ b/crates/cluster/tests/tiers/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of small fleets in tiers, against the invariants T1 to T10 of `docs/design/membership-tiers.md`,
-//! and of single parts against naive models.
+//! Property tests of tiered membership: small fleets under random faults must keep invariants T1 to T10 of
+//! `docs/design/membership-tiers.md`, and single components must match naive models.
 use super::fleet_simulation::{Fleet, Shape, START};
 use larchway::MonotonicTime;
 use larchway_cluster::tiers::message::{Content, Message, Request, Table};
@@ -15,8 +15,8 @@
 
 const FLEET_SHAPE: Shape = Shape { regions: 2, zones: 2, sites: 2, members: 3 };
 const MEMBERS: u16 = 24;
-/// Time in which numbers are right again after the last fault: a silent region is unknown after 8 s, a table is sent
-/// every 2 s, and a representative is found again after 2 s.
+/// Time within which all counts are correct again after the last fault: a silent region becomes unknown after 8 s, a
+/// table is sent every 2 s, and a new representative is known after 2 s.
 const RECOVERY_TIME: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone)]
@@ -39,7 +39,7 @@
     proptest::collection::vec((fault, 50u64..2_500), 1..12)
 }
 
-/// T1 and T5, and that those who hold a lease hold the one below.
+/// T1: checks that no group has more than one representative.
 fn check_single_representatives(fleet: &Fleet) {
     for tier in Tier::ALL {
         for group in 0..fleet.topology.members() as u16 {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Plays for a time, and lets those go on whose pause ends in it.
+/// Runs the fleet for a time, and resumes processes whose pause ends within it.
 fn run_with_resumes(fleet: &mut Fleet, span: Duration, resumes: &mut BTreeMap<u16, MonotonicTime>) {
     let end = fleet.now + span;
     while fleet.now < end {
@@ -104,7 +104,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// T1 and T5 in every history; T8 to T10 once the faults have ended, where each site has its majority.
+    /// T1 and T5 hold at any time; T8 to T10 hold once the faults have ended and each site has a majority.
     #[test]
     fn each_group_has_one_representative_and_counts_recover_after_faults(faults in faults(), seed in any::<u64>()) {
         let mut fleet = Fleet::new(FLEET_SHAPE, seed);
@@ -119,7 +119,7 @@
         let paused: Vec<u16> = resumes.keys().copied().collect();
         paused.into_iter().for_each(|member| fleet.resume(member));
         resumes.clear();
-        // T8 needs a majority of each site: the first killed one of each site starts again.
+        // T8 needs a majority of each site: all killed members but the first of each site are restarted.
         for site in 0..MEMBERS / 3 {
             let members = fleet.topology.children(Tier::Site, site).to_vec();
             let killed: Vec<u16> = members.into_iter().filter(|member| !fleet.is_alive(*member)).collect();
@@ -141,8 +141,8 @@
         prop_assert!(wrong_counts.is_empty(), "T9, T10: {:?}", wrong_counts);
     }
 
-    /// T5, T7: whatever bytes come from whomever, a gateway answers little, counts nothing beyond its size and names
-    /// nobody that is not configured.
+    /// T5, T7: whatever bytes any member sends, a gateway's output is bounded, its counts do not exceed the configured
+    /// sizes, and it sends only to configured members.
     #[test]
     fn arbitrary_messages_never_make_a_gateway_exceed_its_bounds(
         steps in proptest::collection::vec((0..MEMBERS + 3, 0u8..4, message_or_bytes(), 0u64..600), 1..80)
@@ -176,8 +176,8 @@
         }
     }
 
-    /// T4, T6 against a naive model: the numbers are those of the latest report by (term, sequence) among all that
-    /// came, if any came within the timeout.
+    /// T4, T6 against a naive model: the count is that of the latest received report by (term, sequence), if it was
+    /// received within the timeout.
     #[test]
     fn reports_match_a_naive_model(
         steps in proptest::collection::vec((0u64..900, 1u32..5, 0u32..20, 0u16..9), 1..60)
@@ -189,11 +189,11 @@
         for (ms, term, sequence, live) in steps {
             now += Duration::from_millis(ms);
             let (version, count) = (Version { term, sequence }, Count { live, unknown: 0 });
-            // One author a term, as T2 has it.
+            // Each term has one author (T2).
             let receipt = reports.receive(now, 0, term as u16, version, count);
             let is_latest = match latest {
                 None => true,
-                // After a silence the author may have restarted, and counts its reports anew.
+                // After the timeout the author may have restarted, so that its sequence begins again.
                 Some((known, _, at)) if now >= at + timeout => term >= known.term,
                 Some((known, _, _)) => version > known,
             };
@@ -211,13 +211,13 @@
         prop_assert_eq!(silent, Count::unknown(6));
     }
 
-    /// What is decoded is what was encoded; what is truncated or has more bytes is nothing.
+    /// Encoded messages are decoded unchanged, and truncated ones are rejected, except for tables, whose length varies.
     #[test]
     fn messages_are_decoded_as_they_were_encoded(message in messages(), cut in any::<prop::sample::Index>()) {
         let body = message.encode();
         prop_assert!(body.len() <= MAX_BODY_BYTES);
         let datagram = encode(MessageKind::Tiers, 9, &body);
-        let envelope = decode(&datagram).expect("an envelope");
+        let envelope = decode(&datagram).expect("a valid envelope");
         prop_assert_eq!(envelope.kind, MessageKind::Tiers);
         prop_assert_eq!(Message::decode(envelope.body), Some(message.clone()));
         let truncated = Message::decode(&body[..cut.index(body.len())]);
@@ -253,8 +253,8 @@
     ]
 }
 
-/// Plays a history of faults and then the death of one of three; returns how many live at its site, as two others
-/// know.
+/// Runs a fleet through a list of faults and then kills one of the three members of a site. Returns the number of live
+/// members of the site according to each of the two survivors.
 fn live_after_death(
     seed: u64,
     faults: &[(Fault, u64)],
@@ -271,14 +271,15 @@
     fleet.kill(dying_member);
     run_with_resumes(&mut fleet, Duration::from_secs(7), &mut resumes);
     survivors.map(|survivor| {
-        let membership = fleet.processes[usize::from(survivor)].membership.as_ref().expect("runs");
+        let membership =
+            fleet.processes[usize::from(survivor)].membership.as_ref().expect("the survivor runs");
         membership.site_report(fleet.now).alive
     })
 }
 
-/// A history that was found at random: two are left of a site of three, and one of them has restarted. Each pinged
-/// the dead one again as soon as a ping had timed out, and took back its suspicion until that one had too: they
-/// hardly ever suspected it at the same time, and it counted as alive for 25 s.
+/// Guards against late detection in a site of three with two survivors, one of which has restarted: each pinged the
+/// dead member again as soon as a ping had timed out, and withdrew its suspicion while that ping was in flight. They
+/// hardly ever suspected it at the same time, so it counted as alive for 25 s. Found by the property test above.
 #[test]
 fn two_survivors_of_three_find_the_dead_one_in_time() {
     let cut = (Fault::Cut(15, 16), 1_950);
@@ -286,8 +287,9 @@
     assert_eq!(live_after_death(16_571_879_572_754_480_739, &faults, 7, [6, 8]), [2, 2]);
 }
 
-/// Another one: a member dies while one of the two others is paused. On waking that one pinged it, and dated its last
-/// beat to the same moment: the pings counted neither as lost nor as unanswered, and it counted as alive for ever.
+/// Guards against a death that is never detected: a member dies while one of the two others is paused. When it
+/// resumed, that one pinged the member and computed the same time for its last beat, so that the pings counted
+/// neither as lost nor as unanswered and the member counted as alive forever. Found by the property test above.
 #[test]
 fn one_that_dies_while_another_is_paused_is_found() {
     let faults = [(Fault::Pause(0, 100), 1_270), (Fault::Pause(7, 1_638), 377)];
--- a/crates/cluster/tests/tiers/main.rs
+++ b/crates/cluster/tests/tiers/main.rs
@@ -1,4 +1,4 @@
-//! Membership in tiers (`docs/design/membership-tiers.md`), played in virtual time in small fleets.
+//! Tests of tiered membership (`docs/design/membership-tiers.md`) in small fleets that run in virtual time.
 mod fleet_simulation;
 mod histories;
 mod loss;
--- a/crates/cluster/tests/tiers/scale.rs
+++ b/crates/cluster/tests/tiers/scale.rs
@@ -1,17 +1,18 @@
-//! What membership in tiers costs a gateway in fleets of n, 4n and 16n: counted, not timed (T7).
+//! T7: the cost of tiered membership per gateway in fleets of n, 4n and 16n gateways. Datagrams and bytes are counted
+//! instead of measuring time.
 use super::fleet_simulation::{Fleet, Shape};
 use larchway_cluster::tiers::Tier;
 use std::time::Duration;
 
-/// The fleet grows by sites, zones and regions in turn, as fleets do; the smallest has 64 gateways.
+/// Fleets that grow in sites per zone and in regions; the smallest has 64 gateways.
 const SHAPES: [Shape; 3] = [
     Shape { regions: 2, zones: 2, sites: 4, members: 4 },
     Shape { regions: 4, zones: 2, sites: 8, members: 4 },
     Shape { regions: 16, zones: 2, sites: 8, members: 4 },
 ];
 const SIMULATED_TIME: Duration = Duration::from_secs(12);
-/// Growth allowed from one to the next: representatives have as many more partners as the tier has groups, and there
-/// are few of them.
+/// Allowed growth of datagrams and bytes per gateway from one fleet to the next. Traffic of representatives grows with
+/// the number of groups in their tier, but few gateways are representatives.
 const MAX_GROWTH: f64 = 1.25;
 
 struct GatewayUsage {
@@ -23,7 +24,7 @@
 
 fn simulate(shape: Shape) -> GatewayUsage {
     let mut fleet = Fleet::new(shape, 3);
-    // The start, with all its elections, is another matter.
+    // Not measured: the start, with its elections.
     fleet.run_for(Duration::from_secs(6), |_| {});
     let (datagrams, bytes) = (fleet.datagrams, fleet.bytes);
     fleet.run_for(SIMULATED_TIME, |_| {});
@@ -44,12 +45,18 @@
     let usages = SHAPES.map(simulate);
     for (usage, times) in usages.iter().zip([1, 4, 16]) {
         assert_eq!(usage.gateways, 64 * times);
-        // The sites of a zone, the zones of a region, and all regions: not the sites of the fleet.
-        assert!(usage.known_groups <= 8 + 2 + 16, "{} entries", usage.known_groups);
+        // A gateway knows the sites of its zone, the zones of its region and all regions, but not all sites of the
+        // fleet.
+        assert!(usage.known_groups <= 8 + 2 + 16, "{} known groups", usage.known_groups);
     }
     for pair in usages.windows(2) {
         let (small, large) = (&pair[0], &pair[1]);
-        assert!(large.datagrams <= small.datagrams * MAX_GROWTH, "{} {}", small.datagrams, large.datagrams);
+        assert!(
+            large.datagrams <= small.datagrams * MAX_GROWTH,
+            "{} {} datagrams",
+            small.datagrams,
+            large.datagrams
+        );
         assert!(large.bytes <= small.bytes * MAX_GROWTH, "{} {} bytes", small.bytes, large.bytes);
     }
 }
--- a/crates/cluster/tests/tiers_model.rs
+++ b/crates/cluster/tests/tiers_model.rs
@@ -1,6 +1,6 @@
-//! Invariants T1, T4 and T6 of `docs/design/membership-tiers.md` by exhaustion: the election as the program has it,
-//! with messages late, lost and in any order, pauses, kills and restarts; and the reports of two representatives.
-//! Planted faults must be found.
+//! Model checking of invariants T1, T4 and T6 of `docs/design/membership-tiers.md`: the production election code with
+//! delayed, lost and reordered messages, pauses and restarts; and the reports of two representatives. The checker must
+//! also find deliberately planted faults.
 use larchway::MonotonicTime;
 use larchway_cluster::tiers::election::{Election, Input, Output};
 use larchway_cluster::tiers::message::Request;
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_micros(1);
-/// When the worlds begin: all voters have waited by then.
+/// The time in µs at which the models begin; the vote delay of all voters is over by then.
 const START_MICROS: u64 = 10;
 const VOTERS: usize = 3;
-/// Those that stand: the third one only votes.
+/// Number of candidates; the third voter only votes.
 const CANDIDATES: usize = 2;
-/// Terms that are played: campaigns that fail may follow each other within one tick.
+/// Greatest explored term. It bounds the states, since failed campaigns may follow each other within one tick.
 const MAX_TERM: u32 = 2;
 
 const CORRECT_TIMING: ElectionTiming = ElectionTiming {
@@ -29,15 +29,16 @@
     candidate_cooldown: Duration::ZERO,
 };
 
-/// An election under faults; `uses_time_of_sleep`: one that wakes looks at its lease with the time it fell asleep at.
+/// The parameters of an election model with faults.
 #[derive(Clone)]
 struct ElectionModel {
     timing: ElectionTiming,
     ticks: u64,
+    /// Whether a resumed gateway checks its lease with the time at which it was paused (a planted fault).
     uses_stale_clock: bool,
     pauses: u8,
     restarts: u8,
-    /// Messages on their way at most.
+    /// Greatest number of messages in flight.
     in_flight: usize,
 }
 
@@ -52,7 +53,7 @@
 struct Gateway {
     election: Election,
     is_paused: bool,
-    /// The time of its last turn.
+    /// When it last handled an input or a tick of the clock.
     last_handled_at: MonotonicTime,
 }
 
@@ -81,7 +82,7 @@
         Election::new(now, self.timing, number as u16, number, VOTERS, seed)
     }
 
-    /// Whether a gateway acts as the representative now.
+    /// Whether a gateway considers itself the representative now, and is not paused.
     fn acts_as_representative(&self, state: &ElectionState, number: usize) -> bool {
         let gateway = &state.gateways[number];
         let time = if self.uses_stale_clock { gateway.last_handled_at } else { state.now };
@@ -209,7 +210,7 @@
                 (0..CANDIDATES).filter(|number| model.acts_as_representative(state, *number)).count() <= 1
             }),
             Property::sometimes(
-                "the second one is elected",
+                "the second candidate is elected",
                 |model: &ElectionModel, state: &ElectionState| {
                     model.acts_as_representative(state, 1) && state.gateways[0].election.highest_term() > 0
                 },
@@ -218,12 +219,12 @@
     }
 }
 
-/// Whether two represented the group at one time, and how many states were looked at.
+/// Returns whether two gateways represented the group at the same time, and the number of explored states.
 fn check_election(model: ElectionModel) -> (bool, usize) {
     let checker = model.checker().threads(2).spawn_bfs().join();
     let is_violated = checker.discovery("one representative").is_some();
     if !is_violated {
-        checker.assert_any_discovery("the second one is elected");
+        checker.assert_any_discovery("the second candidate is elected");
     }
     (is_violated, checker.unique_state_count())
 }
@@ -246,8 +247,8 @@
         ElectionModel { pauses: 1, restarts: 1, ..longer_run },
     ] {
         let (is_violated, states) = check_election(model);
-        assert!(!is_violated, "of {states} states");
-        assert!(states > 10_000, "only {states} states");
+        assert!(!is_violated, "two representatives; {states} states explored");
+        assert!(states > 10_000, "only {states} states explored");
     }
 }
 
@@ -268,12 +269,13 @@
     assert!(check_election(ElectionModel { timing, restarts: 1, ..ELECTION }).0);
 }
 
-/// A site of two gateways: the first represents it, is paused or killed, and the second represents it with one dead.
-/// Then the second may die too. Their reports come late and in any order.
+/// A model of the reports of a site of two gateways. The first represents the site and counts two live gateways; after
+/// the first is paused or killed, the second represents the site and counts one. Then the second may die too. Reports
+/// are delayed and reordered.
 #[derive(Clone)]
 struct ReportModel {
     timeout: Duration,
-    /// Whether reports are taken by their sequence alone.
+    /// Whether reports are compared by sequence only, without the term (a planted fault).
     ignores_term: bool,
     ticks: u64,
 }
@@ -290,11 +292,12 @@
     now: MonotonicTime,
     reports: Reports,
     in_flight: BTreeSet<SentReport>,
-    /// Reports that each of the two has sent.
+    /// Number of reports sent by each of the two.
     sent: [u32; 2],
     site_is_dead: bool,
-    /// Whether a report of the second one has been taken, and when the last report came.
+    /// Whether a report of the second gateway has been received.
     second_was_received: bool,
+    /// When the last report was received.
     last_received_at: MonotonicTime,
 }
 
@@ -308,7 +311,7 @@
 }
 
 const SITE_SIZE: u16 = 2;
-/// Live gateways as each of the two counts them.
+/// Number of live gateways in the reports of each of the two.
 const FIRST_LIVE_COUNT: u16 = 2;
 const SECOND_LIVE_COUNT: u16 = 1;
 
@@ -383,33 +386,36 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a death once known stays known", |_: &ReportModel, state: &ReportState| {
+            Property::always("a known death stays known", |_: &ReportModel, state: &ReportState| {
                 !state.second_was_received || state.count().live <= SECOND_LIVE_COUNT
             }),
             Property::always("a silent site is unknown", |_: &ReportModel, state: &ReportState| {
                 let is_silent = state.now >= state.last_received_at + REPORT_TIMEOUT;
                 !is_silent || state.count() == Count::unknown(SITE_SIZE)
             }),
-            Property::sometimes("the second one counts", |_: &ReportModel, state: &ReportState| {
-                state.count().live == SECOND_LIVE_COUNT && state.sent[0] > 0
-            }),
+            Property::sometimes(
+                "the count of the second representative is used",
+                |_: &ReportModel, state: &ReportState| {
+                    state.count().live == SECOND_LIVE_COUNT && state.sent[0] > 0
+                },
+            ),
         ]
     }
 }
 
-/// The timeout that the invariant asks for; a world may have another.
+/// The timeout that the invariant requires; a model may use a different one.
 const REPORT_TIMEOUT: Duration = Duration::from_micros(2);
 const REPORTS: ReportModel = ReportModel { timeout: REPORT_TIMEOUT, ignores_term: false, ticks: 4 };
 
 fn check_reports(model: ReportModel, property: &'static str) -> bool {
     let checker = model.checker().threads(2).spawn_bfs().join();
-    checker.assert_any_discovery("the second one counts");
+    checker.assert_any_discovery("the count of the second representative is used");
     checker.discovery(property).is_some()
 }
 
 #[test]
 fn reports_of_an_earlier_representative_or_a_silent_site_are_never_used() {
-    for property in ["a death once known stays known", "a silent site is unknown"] {
+    for property in ["a known death stays known", "a silent site is unknown"] {
         assert!(!check_reports(REPORTS, property), "{property}");
     }
 }
@@ -417,7 +423,7 @@
 #[test]
 fn the_checker_finds_counts_accepted_without_regard_to_the_term() {
     let model = ReportModel { ignores_term: true, ..REPORTS };
-    assert!(check_reports(model, "a death once known stays known"));
+    assert!(check_reports(model, "a known death stays known"));
 }
 
 #[test]
--- a/crates/cluster/tests/verdicts.rs
+++ b/crates/cluster/tests/verdicts.rs
@@ -1,5 +1,5 @@
-//! Deaths in a large tier: what one gateway must have received from others before it considers a member dead
-//! (`docs/design/fleet.md`, M7).
+//! Death declarations in a large tier: the confirmations that a gateway needs from others before it considers a member
+//! dead (`docs/design/fleet.md`, M7).
 use larchway::{duration_micros, MonotonicTime};
 use larchway_cluster::failure_detector::{FailureDetector, Input, MemberState, Output};
 use larchway_cluster::wire::{ClaimedState, Gossip, Heartbeat, MemberClaim, MessageKind, BEAT_MASK};
@@ -9,25 +9,25 @@
 const START: MonotonicTime = MonotonicTime::from_micros(1_000_000_000);
 const MEMBERS: usize = 1_000;
 const OBSERVER: u16 = 3;
-/// A member that answers nobody, and those that suspect it.
+/// A member that answers nobody, and the members that suspect it.
 const SILENT_MEMBER: u16 = 500;
 const SUSPECTORS: [u16; 2] = [10, 11];
-/// Time between two beats.
+/// Time between two beats of a member.
 const BEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// When it is suspected, and the last time at which it is known to have lived.
+/// When others claim to suspect the silent member, and the time of its last known beat.
 const SUSPECTED_AT: MonotonicTime = MonotonicTime::from_micros(START.as_micros() + 4_000_000);
 const LAST_BEAT_AT: MonotonicTime = MonotonicTime::from_micros(START.as_micros() + 3_000_000);
-/// Who tells of all others' beats.
+/// The member whose gossip contains the beats of all others.
 const REFRESHING_MEMBER: u16 = 30;
-/// Time since the beats that others know of.
+/// Age of the beats in that gossip.
 const REFRESHED_BEAT_AGE: Duration = Duration::from_millis(400);
 
-/// What other gateways claim of the silent member in their acks, once it is suspected.
+/// The claims of other gateways about the silent member in their acks.
 #[derive(Clone, Copy, PartialEq)]
 enum PeerClaims {
-    /// Nothing: they know of no suspicion yet.
+    /// No claim: they do not know of the suspicion yet.
     NoClaim,
-    /// Its last beat that they know of, which is no later than the one known here.
+    /// Its last beat that they know, which is no later than the one known to the observer.
     NoLaterBeat,
 }
 
@@ -57,7 +57,7 @@
     receive_ack(observer, now, from, &gossip, outputs);
 }
 
-/// Beats of late from all members but the silent one: nobody else is to be looked for.
+/// Delivers recent beats of all members except the silent one, so that no other member is suspected or probed.
 fn refresh_other_members(observer: &mut FailureDetector, now: MonotonicTime, outputs: &mut Vec<Output>) {
     let capacity = Gossip::window_capacity(0);
     let heartbeat = |member: usize| match member == usize::from(SILENT_MEMBER) {
@@ -72,8 +72,8 @@
     }
 }
 
-/// All pings but those to the silent one are answered, for so long. Returns the changes of the silent member's state
-/// with their times.
+/// Runs the observer from one time to another; all its pings are answered except those to the silent member. Returns
+/// the changes of the silent member's state with their times.
 fn simulate(
     observer: &mut FailureDetector,
     from: MonotonicTime,
@@ -111,7 +111,7 @@
     changes
 }
 
-/// An observer to which two others have claimed to suspect the silent member.
+/// An observer that has received claims of two members that they suspect the silent member.
 fn suspecting_observer() -> FailureDetector {
     let mut observer = FailureDetector::new(START, FleetFile::default(), OBSERVER, MEMBERS, 7);
     let changes = simulate(&mut observer, START, LAST_BEAT_AT, PeerClaims::NoClaim);
@@ -134,8 +134,8 @@
     observer
 }
 
-/// The order that removed living members of a tier of 1,000: two suspect a member that receives nothing, the observer's
-/// own pings stay without an answer, and a later beat, which others know of, comes here only after that.
+/// Guards against the sequence that removed living members of a tier of 1,000: two members suspect one that receives
+/// nothing, the observer's own pings get no answer, and gossip with a later beat reaches the observer only after that.
 #[test]
 fn in_a_large_tier_a_member_is_not_declared_dead_without_confirmations() {
     let mut observer = suspecting_observer();
@@ -151,7 +151,7 @@
     assert!(observer.is_alive(SILENT_MEMBER));
 }
 
-/// And one of whom nobody knows anything later is dead within the time that asking takes.
+/// With confirmations that nobody knows of a later beat, the member is declared dead within 12 s.
 #[test]
 fn in_a_large_tier_a_member_is_declared_dead_with_confirmations() {
     let mut observer = suspecting_observer();
--- a/crates/load-sharing/src/load_sharing.rs
+++ b/crates/load-sharing/src/load_sharing.rs
@@ -76,7 +76,7 @@
         self.next_round_at
     }
 
-    /// Handles an event and appends its effects to `outputs`.
+    /// Handles an event and appends the resulting actions to `outputs`.
     pub fn handle(&mut self, now: MonotonicTime, input: Input<'_>, outputs: &mut Vec<Output>) {
         match input {
             Input::StoresChanged { stores, quota_divisor } => {
--- a/crates/load-sharing/src/spread_file.rs
+++ b/crates/load-sharing/src/spread_file.rs
@@ -53,7 +53,7 @@
 /// Why the load-sharing settings are rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum SpreadFileError {
-    /// No field of the load reports is named.
+    /// The name of the load report's field is empty.
     #[error("field: it is empty")]
     EmptyField,
     /// The period is out of its range.
@@ -82,11 +82,11 @@
         Duration::from_millis(self.period_ms)
     }
 
-    /// Checks that each value can be used.
+    /// Checks that the field is named and each number is in its range.
     ///
     /// # Errors
     ///
-    /// Names the first key whose value cannot be used.
+    /// Returns an error that names the first key whose value is empty or out of range.
     pub fn check(&self) -> Result<(), SpreadFileError> {
         let SpreadFile { ref field, period_ms, fanout, probes_per_s } = *self;
         if field.is_empty() {
--- a/crates/load-sharing/src/wire/tests.rs
+++ b/crates/load-sharing/src/wire/tests.rs
@@ -9,7 +9,7 @@
     assert!(bytes.len() <= MAX_BODY_BYTES);
     assert_eq!(LoadSummary::decode(&bytes), Some(summary.clone()));
     for length in 0..bytes.len() {
-        assert_eq!(LoadSummary::decode(&bytes[..length]), None, "{length}");
+        assert_eq!(LoadSummary::decode(&bytes[..length]), None, "truncated to {length} bytes");
     }
     for (offset, value) in [(0, b'x'), (2, 2), (11, 62)] {
         let mut corrupt = bytes.clone();
--- a/crates/load-sharing/tests/histories.rs
+++ b/crates/load-sharing/tests/histories.rs
@@ -1,11 +1,11 @@
-//! Random histories of one gateway's load sharing, and a simulated fleet. Invariants are numbered as in
+//! Property tests of one gateway's load sharing, and tests with a simulated fleet. Invariants are numbered as in
 //! `docs/design/spread.md`.
 use larchway::{mix, unit, MonotonicTime};
 use larchway_load_sharing::{wire, Input, LoadSharing, OffloadShare, Output, SpreadFile, TierPosition};
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// The moment so many milliseconds after the earliest one.
+/// A point in time, in ms after the earliest one.
 fn at_ms(milliseconds: u64) -> MonotonicTime {
     MonotonicTime::from_micros(milliseconds * 1000)
 }
@@ -49,7 +49,7 @@
                 }
                 Step::Report(store, load) => load_sharing.handle(now, Input::LoadReport { store, load }, &mut outputs),
                 Step::Datagram(bytes) => load_sharing.handle(now, Input::Datagram(&bytes), &mut outputs),
-                // A datagram of its own, corrupted on the way.
+                // The gateway's own last datagram with one corrupted byte.
                 Step::Corrupted(at, byte) => {
                     let mut bytes: Vec<u8> = last_datagram.clone();
                     if let Some(original_byte) = bytes.get_mut(at) {
@@ -60,21 +60,24 @@
                 Step::Wait(ms) => {
                     now += Duration::from_millis(ms);
                     load_sharing.handle(now, Input::Tick, &mut outputs);
-                    prop_assert!(load_sharing.next_due() > now, "invariant 5: it is due again at once");
+                    prop_assert!(load_sharing.next_due() > now, "invariant 5: the next round is due immediately");
                 }
             }
             for output in outputs {
                 match output {
                     Output::Send { peer, body } => {
                         prop_assert!(body.len() <= wire::MAX_BODY_BYTES, "invariant 1");
-                        prop_assert!(peer < 5 && peer != 2, "invariant 1: it tells itself");
+                        prop_assert!(peer < 5 && peer != 2, "invariant 1: sent to an unknown peer or to itself");
                         last_datagram = body;
                     }
                     Output::SampleLoad(store) => {
-                        prop_assert!(listed_stores.contains(&store), "invariant 6: a store that is not listed");
+                        prop_assert!(listed_stores.contains(&store), "invariant 6: sampled a store that is not listed");
                     }
                     Output::OffloadShares(shares) => for OffloadShare { store, share } in shares {
-                        prop_assert!(listed_stores.contains(&store), "invariant 2: a store that is not listed");
+                        prop_assert!(
+                            listed_stores.contains(&store),
+                            "invariant 2: an offload share of a store that is not listed",
+                        );
                         prop_assert!(share > 0.0 && share <= 0.6, "invariant 2: {share}");
                     },
                 }
@@ -85,8 +88,8 @@
     }
 }
 
-/// The loads of stores with uneven shares of objects after a simulated fleet has run; each gateway receives a report of
-/// a store about once in three seconds.
+/// Runs a fleet of gateways in front of 12 stores with uneven demand, and returns the final loads of the stores. Each
+/// gateway receives a load report of each store about every 3 s. `loss` is the share of lost datagrams, from 0 to 1.
 fn simulated_loads(gateways: usize, loss: f64, seconds: u64) -> Vec<f64> {
     let demand: [f64; 12] = [1.6, 0.7, 1.0, 1.3, 0.8, 0.6, 1.1, 0.9, 1.4, 0.75, 0.85, 1.0];
     let stores: Vec<u64> = (0..12).map(|store| 1000 + store).collect();
@@ -116,7 +119,7 @@
     };
     for step in 0..seconds * 10 {
         let now = at_ms(step * 100);
-        // What a store offloads is divided evenly among all stores.
+        // Offloaded demand is divided evenly among all stores.
         let retained = |store_index: usize| {
             1.0 - shares_by_gateway.iter().map(|shares| shares[store_index]).sum::<f64>() / gateways as f64
         };
@@ -227,8 +230,8 @@
     assert!(status.received == 0 && status.rejected > 50);
 }
 
-/// Invariant 6: the budget of load samples is that of the fleet, whatever its size, and goes to stores that report
-/// rarely.
+/// Invariant 6: the gateways together keep to one budget of load samples, whatever their number, and sample only stores
+/// that report rarely.
 #[test]
 fn samples_of_a_store_keep_to_one_budget_for_any_number_of_gateways() {
     for gateways in [1usize, 20, 300] {
@@ -260,7 +263,10 @@
                 }
             }
         }
-        assert!((60..=130).contains(&samples[0]), "{gateways}: {samples:?} in 50 s at 2 a second");
-        assert_eq!(samples[1], 0, "{gateways}: one that reports is not sampled");
+        assert!(
+            (60..=130).contains(&samples[0]),
+            "{gateways} gateways: {samples:?} samples in 50 s at 2 per second"
+        );
+        assert_eq!(samples[1], 0, "{gateways} gateways: sampled a store that reports frequently");
     }
 }
