--- a/gateway/src/membership/mod.rs
+++ b/gateway/src/membership/mod.rs
@@ -88,14 +88,12 @@
         (membership, effects)
     }
 
-    /// Whether the endpoint list is merged from several sources: the list of the event source and the nodes of the
-    /// ensemble.
+    /// Whether the endpoint list is merged from the list of the event source and the nodes of the ensemble.
     pub fn merges_sources(&self) -> bool {
         self.settings.stores_path.is_some()
     }
 
-    /// The most that the own Unix clock can be fast, by the times that nodes state; none before a node has stated
-    /// one.
+    /// The most that the own Unix clock can be fast, by the times that nodes state; none before the first.
     pub fn max_clock_lead(&self) -> Option<Duration> {
         self.wire_times.max_clock_lead()
     }
@@ -289,8 +287,7 @@
     }
 }
 
-/// Whether a change of the client's configuration requires a new session; a change of the own node's data alone does
-/// not.
+/// Whether a new client configuration requires a new session: it differs in more than the data of the own node.
 fn needs_new_session(old: &ClientConfig, new: &ClientConfig) -> bool {
     let without_data = |config: &ClientConfig| {
         let registration = config.registration.clone();
