--- a/gateway/src/clock/wire/tests.rs
+++ b/gateway/src/clock/wire/tests.rs
@@ -61,7 +61,7 @@
         endpoint_start(&mut times, NOW, ListScope::Changes, listed(2, unix_before(NOW, 3 * SECOND))),
         NOW - 3 * SECOND
     );
-    let copy = times.copy(NOW, unix_before(NOW, HOUR)).expect("it has a time");
+    let copy = times.copy(NOW, unix_before(NOW, HOUR)).expect("a reported time");
     assert_eq!(copy, CopyTimes { issued: NOW - HOUR, issued_local: NOW - HOUR });
 }
 
@@ -150,7 +150,7 @@
 #[test]
 fn the_age_of_a_copy_is_never_underestimated() {
     let young = unix_before(NOW, Duration::from_millis(10));
-    let old = fast_clock(HOUR).copy(NOW, young).expect("it has a time");
+    let old = fast_clock(HOUR).copy(NOW, young).expect("a reported time");
     assert_eq!(
         old.issued_local,
         NOW - HOUR - Duration::from_millis(10),
@@ -159,7 +159,7 @@
     let mut times = slow_clock(HOUR);
     assert_eq!(times.copy(NOW, young), None, "its time seems to be in the future");
     purge_age(&mut times, NOW, unix_before(NOW, Duration::ZERO));
-    let copy = times.copy(NOW, unix_before(NOW, 10 * SECOND)).expect("its time is not in the future");
+    let copy = times.copy(NOW, unix_before(NOW, 10 * SECOND)).expect("a time that is not in the future");
     assert_eq!(copy.issued_local, NOW - 10 * SECOND);
     assert_eq!(copy.issued, NOW + HOUR - 10 * SECOND, "compared with purges as it was reported");
     assert_eq!(times.copy(NOW, UnixMicros::default()), None);
--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -23,7 +23,7 @@
     pub(super) number: u64,
     /// The decision of the module: the store, the source and the conditions.
     pub(super) get: Get,
-    /// When the module decided it.
+    /// When the module decided on it.
     pub(super) created_at: MonotonicTime,
     /// When its first byte was written; none before that.
     pub(super) first_byte_at: Option<MonotonicTime>,
@@ -36,7 +36,7 @@
 }
 
 impl Attempt {
-    /// An attempt created now, of which nothing is written yet.
+    /// Creates an attempt of which nothing is written yet.
     pub(super) fn new(
         now: MonotonicTime,
         request: Key,
--- a/gateway/src/core/messages.rs
+++ b/gateway/src/core/messages.rs
@@ -104,7 +104,7 @@
 pub struct AttemptResult {
     /// Whether the store replied, and with success or which failure.
     pub status: Status,
-    /// Where the store got the reply from, such as its cache or a fill.
+    /// How the store produced the reply, such as from its cache or by a fill, or why it could not.
     pub note: Note,
     /// The time that the store waited for the source of the reply, as the store reported it; zero if it reported
     /// none.
--- a/gateway/src/core/origin.rs
+++ b/gateway/src/core/origin.rs
@@ -44,7 +44,7 @@
 pub(super) struct FillResult {
     /// The status with which the attempt ended.
     pub(super) status: Status,
-    /// Where the store got the reply from, such as its cache or a fill.
+    /// How the store produced the reply, such as from its cache or by a fill, or why it could not.
     pub(super) note: Note,
     /// The duration of the fill.
     pub(super) time: Duration,
--- a/gateway/src/core/outcomes.rs
+++ b/gateway/src/core/outcomes.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Withdraws the attempts of an answered request of which no byte is written, also in classes whose sent attempts
+    /// Withdraws the attempts of an answered request of which no byte is written, also where attempts already sent
     /// must not be cancelled: no new work begins for a request that has its reply.
     pub(super) fn withdraw_unsent(&mut self, now: MonotonicTime, request: Key) {
         let Some(open) = self.requests.get(request) else { return };
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -93,7 +93,7 @@
     let mut core = configured_core();
     core.admit(START, reply_to(1), new_request(0, 7));
     let waiting = take_sent(&mut core)[0];
-    core.attempt(waiting).expect("there").connection = Some(Key(5));
+    core.attempt(waiting).expect("an open attempt").connection = Some(Key(5));
     let (server, _) = core.target(waiting).expect("a target");
     core.apply_event(
         START + MICROSECOND,
@@ -121,14 +121,18 @@
         core.admit(START, reply_to(object), new_request(0, object));
     }
     let keys = take_sent(&mut core);
-    core.attempt(keys[1]).expect("there").first_byte_at = Some(START);
+    core.attempt(keys[1]).expect("an open attempt").first_byte_at = Some(START);
     let purge = Change::Purge { object: None, group: 17, issued: START - 50 * MS, age: 50 * MS };
     core.apply_event(START, &purge);
     assert!(core.attempt(keys[0]).is_none() && core.attempt(keys[1]).is_some());
     let resent = take_sent(&mut core);
-    assert_eq!(core.store_request(START, resent[0]).expect("it waits").max_age_ms, 40, "less the margin");
+    assert_eq!(
+        core.store_request(START, resent[0]).expect("an open attempt").max_age_ms,
+        40,
+        "less the margin"
+    );
     // While the attempt waits, the age bound grows with the time since the purge.
-    assert_eq!(core.store_request(START + 100 * MS, resent[0]).expect("it waits").max_age_ms, 140);
+    assert_eq!(core.store_request(START + 100 * MS, resent[0]).expect("an open attempt").max_age_ms, 140);
 }
 
 #[test]
@@ -138,8 +142,8 @@
     core.apply_event(START, &Change::Purge { object: Some(7), group: 0, issued, age });
     core.admit(START, reply_to(1), new_request(1, 7));
     let key = take_sent(&mut core)[0];
-    assert_eq!(core.store_request(START, key).expect("it waits").max_age_ms, 7980);
-    assert_eq!(core.store_request(START + 500 * MS, key).expect("it waits").max_age_ms, 8000);
+    assert_eq!(core.store_request(START, key).expect("an open attempt").max_age_ms, 7980);
+    assert_eq!(core.store_request(START + 500 * MS, key).expect("an open attempt").max_age_ms, 8000);
 }
 
 #[test]
@@ -182,7 +186,7 @@
     let mut core = configured_core();
     core.admit(START, reply_to(1), Request { timeout: 50 * MS, ..new_request(1, 7) });
     let key = take_sent(&mut core)[0];
-    assert!((45..50).contains(&core.store_request(START, key).expect("it waits").max_wait_ms));
+    assert!((45..50).contains(&core.store_request(START, key).expect("an open attempt").max_wait_ms));
 }
 
 /// Guards against a store that works for a client that has given up: the wait stated to it must never exceed the
@@ -193,7 +197,7 @@
     for time_left in (0..40).map(|n| n * 100 * MICROSECOND).chain([TTL / 2, TTL - LONGEST_REPLY_MARGIN]) {
         let mut core = configured_core();
         core.admit(START, reply_to(1), new_request(0, 7));
-        let end = core.requests.values_mut().next().expect("open").deadline;
+        let end = core.requests.values_mut().next().expect("an open request").deadline;
         let at = end - time_left;
         // A withdrawn attempt is decided again, with no more attempts than the settings allow.
         let (mut begun, mut decided) = (0, 0);
@@ -201,7 +205,7 @@
             decided += 1;
             if core.may_send(at, key) {
                 begun += 1;
-                let max_wait_ms = core.store_request(at, key).expect("it waits").max_wait_ms;
+                let max_wait_ms = core.store_request(at, key).expect("an open attempt").max_wait_ms;
                 assert!(Duration::from_millis(max_wait_ms) <= time_left, "{time_left:?}");
                 core.record_first_byte(at, key);
             }
@@ -226,7 +230,7 @@
 #[test]
 fn a_call_id_in_use_is_rejected_until_its_request_has_ended() {
     let mut core = configured_core();
-    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("taken");
+    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("admitted");
     assert!(core.admit(START, reply_to(2), new_request(0, 7)).is_none());
     core.client_left(START, request);
     assert!(core.admit(START, reply_to(3), new_request(0, 7)).is_some());
@@ -235,9 +239,9 @@
 #[test]
 fn each_request_gets_one_final_reply_despite_late_events() {
     let mut core = configured_core();
-    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("taken");
+    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("admitted");
     let first = take_sent(&mut core)[0];
-    core.attempt(first).expect("there").first_byte_at = Some(START);
+    core.attempt(first).expect("an open attempt").first_byte_at = Some(START);
     assert_eq!(core.end_attempt(START + 5 * MICROSECOND, first, Status::Ok, Note::Hit), Some(reply_to(1)));
     assert_eq!(core.end_attempt(START + 6 * MICROSECOND, first, Status::Ok, Note::Hit), None);
     core.client_left(START + 7 * MICROSECOND, request);
@@ -253,9 +257,9 @@
 #[test]
 fn at_the_deadline_a_request_fails_and_its_attempt_is_abandoned() {
     let mut core = configured_core();
-    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("taken");
+    let request = core.admit(START, reply_to(1), new_request(0, 7)).expect("admitted");
     let key = take_sent(&mut core)[0];
-    let attempt = core.attempt(key).expect("there");
+    let attempt = core.attempt(key).expect("an open attempt");
     (attempt.first_byte_at, attempt.connection) = (Some(START), Some(Key(5)));
     let at = core
         .deadlines
--- a/gateway/src/peers/members/tests.rs
+++ b/gateway/src/peers/members/tests.rs
@@ -10,7 +10,7 @@
 
 fn site_of_two() -> Arc<Topology> {
     let place = SitePlace { site: "a1".into(), zone: "a".into(), region: "r".into(), members: vec![0, 1] };
-    Arc::new(Topology::new(&[place], 2).expect("sound"))
+    Arc::new(Topology::new(&[place], 2).expect("a valid topology"))
 }
 
 fn settings() -> PeerSettings {
