--- a/crates/distribution/examples/bytes_per_event.rs
+++ b/crates/distribution/examples/bytes_per_event.rs
@@ -1,5 +1,5 @@
-//! Prints the bytes an event takes on the wire: 250 purges a second in batches of 100, 250 and 1000 ms, plain and by
-//! gzip at several levels. `cargo run --release -p larchway-distribution --example bytes_per_event`
+//! Prints the bytes per event on the wire: 250 purges per second in batches of 100, 250 and 1000 ms, uncompressed and
+//! with gzip at several levels. `cargo run --release -p larchway-distribution --example bytes_per_event`
 use larchway_distribution::batch::{encode_at_level, write_event, write_heartbeat, Encoding};
 use larchway_unix_time::UnixMicros;
 use rand::{Rng, SeedableRng};
@@ -13,11 +13,11 @@
 const ISSUED_FROM_MS: u64 = 1_764_576_000_000;
 const FIRST_NUMBER: u64 = 1_000_000;
 const MS_PER_SECOND: u64 = 1000;
-/// One purge in so many is of a group.
+/// Every purge whose number is a multiple of this is a group purge.
 const GROUP_EVERY: u64 = 20;
 const GROUPS: u64 = 5000;
 
-/// The texts of all batches of so many ms, with a heartbeat a second.
+/// The texts of all batches of this duration, with one heartbeat per second.
 fn batches(batch_ms: u64) -> Vec<String> {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut texts = Vec::new();
--- a/crates/distribution/examples/relay_cost.rs
+++ b/crates/distribution/examples/relay_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what a relay's decisions cost at 250 purges a second for a minute of virtual time, without sockets:
-//! processor time, bytes encoded and bytes held. `cargo run --release -p larchway-distribution --example relay_cost`
+//! Prints a relay's cost at 250 purges per second for a minute of virtual time, without sockets: processor time, bytes
+//! encoded and memory used. `cargo run --release -p larchway-distribution --example relay_cost`
 use larchway::MonotonicTime;
 use larchway_distribution::batch::Encoding;
 use larchway_distribution::relay::{Input, Output, Relay, RelaySettings, SubscribeRequest};
@@ -13,9 +13,9 @@
 const PURGE_EVERY: Duration = Duration::from_millis(4);
 const PURGES_BEFORE: u64 = 10_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// When the subscribers come.
+/// Time at which the subscribers connect.
 const START: MonotonicTime = MonotonicTime::from_micros(MICROS_PER_SECOND);
-/// Spreads the objects over all 64 bits.
+/// Multiplier that spreads the objects over all 64 bits.
 const OBJECT_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 
 fn purge(number: u64) -> Event {
@@ -25,7 +25,7 @@
     Event::read(&data).expect("a purge")
 }
 
-/// A relay that is caught up, with so many subscribers that are too.
+/// A caught-up relay with this number of caught-up subscribers.
 fn ready_relay(subscribers: u64) -> Relay {
     let mut relay = Relay::new(RelaySettings::default());
     let mut out = Vec::new();
--- a/crates/distribution/src/positions.rs
+++ b/crates/distribution/src/positions.rs
@@ -242,8 +242,8 @@
         self.gateways - self.gateways_lost
     }
 
-    /// Handles the return of a lost subscriber. A lost relay's report is retained: its gateways may have moved to another
-    /// relay without having reported there yet, and events would count as applied everywhere without them.
+    /// Handles the return of a lost subscriber. A lost relay's report is retained: its gateways may have moved to
+    /// another relay without having reported there yet, and events would count as applied everywhere without them.
     fn on_return(&mut self, loss_index: u64) {
         if self.entries.get(&ReporterKey::Lost(loss_index)).is_none_or(ReporterEntry::is_gateway) {
             self.remove_lost(loss_index);
--- a/crates/distribution/tests/batch.rs
+++ b/crates/distribution/tests/batch.rs
@@ -1,4 +1,4 @@
-//! The bytes of the event stream, read by a standard gzip decoder.
+//! The encoded event stream, decoded by a standard gzip decoder.
 use flate2::read::GzDecoder;
 use larchway_distribution::batch::{
     encode, encode_at_level, write_event, write_heartbeat, Encoding, GZIP_HEADER,
--- a/crates/distribution/tests/common/documents.rs
+++ b/crates/distribution/tests/common/documents.rs
@@ -1,4 +1,4 @@
-//! Documents for the tests, a gateway that reads them, and what is obviously right of them.
+//! Test support for documents: constructors, a gateway that reads events, and a simple reference implementation.
 use larchway_distribution::configuration::{
     Candidate, Document, DocumentId, DocumentKind, DocumentVersion, DocumentsEvent, GatewayDocuments, Targets,
 };
@@ -6,7 +6,7 @@
 use larchway_distribution::{Event, EventNumber};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Part of a content that no gateway can apply.
+/// Marks a content that gateways cannot apply.
 pub const BAD: &str = "bad";
 
 pub fn id(name: &str) -> DocumentId {
@@ -47,7 +47,8 @@
     document.content.as_ref().is_some_and(|content| content.contains(BAD))
 }
 
-/// A gateway's daemon: it reads events in order and cannot apply bad contents, unless its file makes up for them.
+/// A gateway that reads events in order. It rejects contents marked [`BAD`] unless `applies_bad` is set, which stands
+/// for a corrected configuration file.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Gateway {
     pub documents: GatewayDocuments,
@@ -60,7 +61,7 @@
         Gateway { documents: GatewayDocuments::new(name, zone), cursor: 0, applies_bad: false }
     }
 
-    /// Reads an event; a jump of numbers is a gap.
+    /// Reads an event. A jump in the numbers is a gap.
     pub fn read(&mut self, event: &Event) {
         let is_gap = event.number != self.cursor + 1;
         self.cursor = event.number;
@@ -73,7 +74,7 @@
         self.try_all(candidate);
     }
 
-    /// Accepts or rejects candidates until there is none.
+    /// Accepts or rejects candidates until there are none left.
     pub fn try_all(&mut self, mut candidate: Option<Candidate>) {
         let mut tried = 0;
         while let Some(next) = candidate.take() {
@@ -105,11 +106,11 @@
     }
 }
 
-/// What a gateway wants of each document after a history: the last version that is for it, found from the end, and the
-/// event that brought it.
+/// The wanted version of each document after a history, with the number of its event: the last version that is for this
+/// gateway, found by a search from the end.
 pub fn wanted(history: &[Event], name: &str, zone: &str) -> BTreeMap<String, (EventNumber, Document)> {
     let mut found = BTreeMap::new();
-    // Only the last version for all counts, and the last staged one after it, whether or not it is for this gateway.
+    // Only the last version for all gateways matters, and the last staged one after it, even if not for this gateway.
     let (mut settled, mut seen_staged) = (BTreeSet::new(), BTreeSet::new());
     for event in history.iter().rev() {
         let Some(documents) = read_documents(event) else { continue };
@@ -134,7 +135,7 @@
     found
 }
 
-/// Reads an event and checks that its changes are applied together or not at all: C3.
+/// Reads an event and checks that its changes are applied together or not at all (C3).
 pub fn read_checked(gateway: &mut Gateway, event: &Event, name: &str, zone: &str) {
     let before = gateway.in_force();
     gateway.read(event);
@@ -152,8 +153,8 @@
     }
 }
 
-/// Checks a gateway that has read all of a history by whatever way: C1 and C3 of
-/// `docs/design/configuration-events.md`.
+/// Checks a gateway that has read a complete history in the way that `way` names (C1 and C3 of
+/// `docs/design/configuration-events.md`).
 pub fn check(gateway: &Gateway, history: &[Event], name: &str, zone: &str, way: &str) {
     let wanted = wanted(history, name, zone);
     let bad_events: BTreeSet<EventNumber> =
@@ -163,11 +164,12 @@
     let rejected = gateway.rejected();
     for (id, (number, document)) in &wanted {
         let is_rejected = rejected.contains(&(id.clone(), document.version));
-        // To withdraw what is not in force changes nothing, and nothing can fail.
+        // Withdrawing a document that is not in force changes nothing, so it cannot be rejected.
         if document.content.is_none() && !in_force.contains_key(id) {
             continue;
         }
-        // What came with a bad one may be in force: a staged version stood in for the bad one when it came.
+        // A change from the same event as a bad one may be in force, if a staged version replaced the bad one at that
+        // time.
         assert!(!is_bad(document) || is_rejected, "{way}: {id} of event {number} is bad");
         assert!(!is_rejected || bad_events.contains(number), "{way}: {id} of event {number} is rejected");
         if !is_rejected {
@@ -176,7 +178,7 @@
             assert_eq!(in_force.get(id), expected.as_ref(), "{way}: {id} of event {number}");
         }
     }
-    // What a full list has not any more stays in force only where that list cannot be applied.
+    // A document missing from a full list stays in force only if that list cannot be applied.
     let out_of_list = |id: &String| rejected.contains(&(id.clone(), DocumentVersion::default()));
     let mut gone = in_force.keys().filter(|id| !wanted.contains_key(*id));
     assert!(
--- a/crates/distribution/tests/configuration_scale.rs
+++ b/crates/distribution/tests/configuration_scale.rs
@@ -1,4 +1,4 @@
-//! What grows with the number of documents and gateways: counts at n, 4n and 16n, never times (C7 of
+//! Costs as the number of documents and gateways grows: counts, not times, at n, 4n and 16n (C7 of
 //! `docs/design/configuration-events.md`).
 mod common;
 use common::documents::{changes, document, id, version, Gateway};
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 const SIZES: [u64; 3] = [300, 1200, 4800];
-/// Events before the change that is measured, so that its number is as long for each size.
+/// Event number of the measured change, the same for each size so that the number has the same length.
 const CHANGE_NUMBER: EventNumber = 10_000;
 
-/// A class of some 300 bytes.
+/// A document content of about 300 bytes.
 fn content(number: u64) -> String {
     let limits: Vec<String> =
         (0..8).map(|limit| format!("{{\"route\":\"r-{limit}\",\"rate\":{number}.25}}")).collect();
@@ -27,7 +27,7 @@
     format!("document-{number:05}")
 }
 
-/// A full list of stores, so many documents, purges, and a change of one document.
+/// A full store list, the given number of documents, purges, and finally a change of one document.
 fn history(documents: u64) -> Vec<Event> {
     let document_event = |number: u64| changes(number, [document(&name(number), 1, Some(&content(100)))]);
     let first = list(1, true, &[store_json(1, "up")]);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Bytes to a subscriber that is caught up, of one change with so many documents held.
+/// Bytes sent to a caught-up subscriber for one change, when the relay stores this number of documents.
 fn bytes_of_a_change(documents: u64, encoding: Encoding) -> usize {
     let mut driver = Driver::new(Relay::new(RelaySettings::default()));
     let history = history(documents);
@@ -105,7 +105,7 @@
     };
     let bytes = [750, 3000, 12_000].map(report);
     println!("report: {bytes:?} bytes");
-    // The number of gateways is written twice.
+    // The report contains the number of gateways twice.
     let more_digits = 2 * ("12000".len() - "750".len());
     assert!(bytes[2] - bytes[0] <= more_digits, "{bytes:?}");
 }
--- a/crates/distribution/tests/event.rs
+++ b/crates/distribution/tests/event.rs
@@ -1,4 +1,4 @@
-//! What `Event::read` makes of the bulletin's forms.
+//! Parsing of the bulletin's event forms by `Event::read`.
 use larchway_distribution::event::MAX_EVENT_NUMBER;
 use larchway_distribution::{Event, EventError, Subject};
 use larchway_unix_time::UnixMicros;
--- a/crates/distribution/tests/failover_model.rs
+++ b/crates/distribution/tests/failover_model.rs
@@ -1,5 +1,5 @@
-//! E1 to E3 of `docs/design/event-distribution.md` by exhaustion: a source, two relays as the program has them, a
-//! subscriber, and whatever can go wrong between them, in every order. Planted faults must be found.
+//! Model check of E1 to E3 of `docs/design/event-distribution.md`: a source, two real relays, a modelled subscriber,
+//! and failures between them, in every order. Planted faults must be detected.
 mod common;
 use common::{list, parse, purge, read, store_json, Driver, StreamItem, MICROSECOND};
 use larchway_distribution::batch::{placeholder, Encoding};
@@ -15,30 +15,30 @@
 const RELAYS: usize = 2;
 const SUBSCRIBER: SubscriberId = 1;
 
-/// A fault planted to see that the model finds it.
+/// A fault planted to check that the model detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlantedFault {
     Nothing,
-    /// A relay passes heartbeats though it has not read all events.
+    /// A relay forwards heartbeats although it has not read all events.
     HeartbeatWhileBehind,
-    /// A subscriber moves between relays without saying what its history is.
+    /// A subscriber moves between relays without sending a digest of its history.
     NoDigest,
-    /// A subscriber that has no digest, since a snapshot came last, retains its cursor when it moves.
+    /// A subscriber without a digest, because a snapshot was its last event, retains its cursor when it moves.
     CursorWithoutDigest,
-    /// A relay's log loses a purge that no later one replaces.
+    /// A relay's log loses a purge that no later event replaces.
     PurgeLostByCompaction,
-    /// A subscriber that is given a snapshot retains the copies of before.
+    /// A subscriber that receives a snapshot retains its earlier copies.
     SnapshotWithoutFloor,
 }
 
-/// Which of the source's two histories: that of before it was killed, or that with which it came back.
+/// One of the source's two histories: 0 before its restart, 1 after.
 type History = u8;
 
 struct World {
     planted_fault: PlantedFault,
-    /// Events of a history at most.
+    /// Maximum number of events in a history.
     events: EventNumber,
-    /// Kills, cuts and gaps at most.
+    /// Maximum number of restarts, connection failures and gaps.
     faults: u8,
     histories: [Vec<Event>; 2],
 }
@@ -49,37 +49,37 @@
     last: EventNumber,
 }
 
-/// What a relay has read: enough to make the program's relay again.
+/// The input of a relay, sufficient to recreate the real relay.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct RelayState {
     history: History,
-    /// The number of the snapshot its log began with, if it did.
+    /// Number of the snapshot with which its log began, if any.
     snapshot: Option<EventNumber>,
     last: EventNumber,
-    /// Whether it is connected and has been caught up since.
+    /// Whether it is connected to the source and has caught up since.
     ready: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Subscriber {
     cursor: EventNumber,
-    /// The last event that came with its text, and its digest.
+    /// Number and digest of the last event received with its own text.
     reference_event: Option<(EventNumber, u64)>,
     history: Option<History>,
-    /// By object: the last purge applied in this history.
+    /// Number of the last purge applied in this history, by object.
     purged: BTreeMap<String, EventNumber>,
-    /// Copies from before this event are void.
+    /// Copies from before this event are invalid.
     floor: EventNumber,
     connected: Option<usize>,
-    /// By relay: whether it sent another history since this subscriber was last accepted.
+    /// For each relay, whether it rejected the history since this subscriber was last accepted.
     rejected: [bool; RELAYS],
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Seen {
-    /// E1 or E3: after a heartbeat, a purge that the source had sent before it is neither applied nor under the floor.
+    /// E1 or E3: after a heartbeat, a purge that the source sent before it is neither applied nor before the floor.
     missed_purge: bool,
-    /// E2: events of two histories were applied with no floor between.
+    /// E2: events of two histories were applied without a floor between them.
     mixed_histories: bool,
     /// E2: an event was applied after a later one.
     out_of_order: bool,
@@ -100,16 +100,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Action {
     Append,
-    /// The source is killed and comes back with another history.
+    /// The source restarts with a different history.
     RestartSource,
     Read(usize),
-    /// The relay was away for long, and is given a snapshot.
+    /// The relay was disconnected for long and receives a snapshot.
     ReadSnapshot(usize),
     Heartbeat(usize),
     KillRelay(usize),
     /// The relay's connection to the source breaks.
     CutRelay(usize),
-    /// The subscriber connects and reads one chunk, or all.
+    /// The subscriber connects and reads one chunk or all.
     Connect(usize, Chunks),
     Deliver,
     CutSubscriber,
@@ -121,14 +121,14 @@
     All,
 }
 
-/// Two histories of the same numbers: a list first, then purges of two objects in turn.
+/// A history of a list followed by purges of two alternating objects. Both histories have the same numbers.
 fn history(which: History, events: EventNumber) -> Vec<Event> {
     let first = list(1, true, &[store_json(u64::from(which), "up")]);
     let object = |number| u64::from(which) * 10 + number % 2;
     std::iter::once(first).chain((2..=events).map(|number| purge(number, object(number)))).collect()
 }
 
-/// Which history an event's data is of; none for a placeholder.
+/// The history of an event's data; `None` for a placeholder.
 fn history_of(data: &str) -> Option<History> {
     let of_second =
         data.contains("s-00000001") || data.contains("000000000000000a") || data.contains("000000000000000b");
@@ -141,7 +141,7 @@
         World { planted_fault, events, faults, histories: [history(0, events), history(1, events)] }
     }
 
-    /// The program's relay, with all that this one has read.
+    /// Recreates the real relay from the modelled relay's input.
     fn relay(&self, state: &RelayState) -> Driver {
         let settings = RelaySettings {
             log: LogLimits { events: 3, bytes: 1 << 20 },
@@ -169,7 +169,7 @@
         driver
     }
 
-    /// An event as relays read it.
+    /// An event as read by relays.
     fn event(&self, history: History, number: EventNumber) -> Event {
         let lost = self.planted_fault == PlantedFault::PurgeLostByCompaction && number == self.events;
         if lost {
@@ -187,7 +187,7 @@
     fn read(&self, state: &mut State, relay: usize) {
         let read = &mut state.relays[relay];
         if read.history != state.source.history && read.last > 0 {
-            // It compares the digest of its last event first, and stops serving.
+            // The relay compares the digest of its last event first and stops serving.
             *read = RelayState { history: state.source.history, snapshot: None, last: 0, ready: false };
             state.disconnect_from(relay);
             return;
@@ -220,7 +220,7 @@
         let retains_cursor =
             matches!(self.planted_fault, PlantedFault::NoDigest | PlantedFault::CursorWithoutDigest);
         if subscriber.reference_event.is_none() && subscriber.cursor > 0 && !retains_cursor {
-            // It is unknown which history it was in: it begins anew, and all its copies are void.
+            // The subscriber's history is unknown: it resets its cursor, and all its copies are invalid.
             *subscriber = Subscriber { rejected: subscriber.rejected, ..Subscriber::default() };
         }
         let (cursor, digest) = match subscriber.reference_event {
@@ -247,7 +247,8 @@
         }
     }
 
-    /// If all relays have another history, the subscriber takes it over, and all its copies are void.
+    /// Handles a rejected history. If all relays have rejected it, the subscriber resets its state and all its copies
+    /// are invalid.
     fn rejected(&self, state: &mut State, relay: usize) {
         state.subscriber.rejected[relay] = true;
         if state.subscriber.rejected == [true; RELAYS] {
@@ -256,7 +257,7 @@
         }
     }
 
-    /// A connection that goes on: the cursor is one of this relay's.
+    /// Continues an existing connection, so the cursor needs no verification.
     fn deliver(&self, state: &mut State, relay: usize) {
         let mut driver = self.relay(&RelayState { ready: true, ..state.relays[relay].clone() });
         let request = SubscribeRequest {
--- a/crates/distribution/tests/log.rs
+++ b/crates/distribution/tests/log.rs
@@ -1,4 +1,4 @@
-//! The event log against one that drops nothing, and its bounds (E1, E4 of `docs/design/event-distribution.md`).
+//! The event log compared with a complete history, and its limits (E1 and E4 of `docs/design/event-distribution.md`).
 mod common;
 use common::{group_purge, list, purge, read, store_json, View};
 use larchway_distribution::batch::placeholder;
@@ -69,7 +69,7 @@
 fn a_placeholder_from_upstream_does_not_verify_the_history() {
     let mut log = log_of([purge(1, 7), read(&placeholder(2)), purge(3, 7)]);
     assert_eq!(log.check_history(2, 5), HistoryCheck::Unknown);
-    // The same event with its text, or the other way round, is no other history.
+    // An event that was received as a placeholder, or the reverse, is not a different history.
     assert_eq!(log.append(purge(2, 9)), Ok(Appended::Duplicate));
     assert_eq!(log.append(read(&placeholder(1))), Ok(Appended::Duplicate));
 }
@@ -84,7 +84,7 @@
     assert_eq!(log.check_history(9, 1), HistoryCheck::Unknown);
     assert!(log.stores().is_complete());
     log.append(purge(10, 7)).expect("in order");
-    // A gap that begins with no full list leaves the list unknown.
+    // After a gap without a full list, the store list is unknown.
     log.restart_at(purge(20, 7));
     assert_eq!((log.first(), log.last()), (20, 20));
     assert!(!log.stores().is_complete());
@@ -144,8 +144,8 @@
 }
 
 proptest! {
-    /// E1: whoever has everything up to any number that the log reaches, and reads the log from there, ends with the
-    /// state of one who read everything.
+    /// E1: a reader that has all events up to any number in the log's range, and then reads the log, ends with the
+    /// state of a reader of the complete history.
     #[test]
     fn a_compacted_log_ends_in_the_state_of_the_complete_history(
         changes in prop::collection::vec(change(), 1..60),
--- a/crates/distribution/tests/positions.rs
+++ b/crates/distribution/tests/positions.rs
@@ -1,4 +1,4 @@
-//! Positions against a plain list of all reports.
+//! The aggregated positions compared with a plain list of all reports.
 use larchway::MonotonicTime;
 use larchway_distribution::positions::{
     PositionLimits, PositionReport, Positions, Straggler, MAX_NAME_BYTES, MAX_STRAGGLERS,
@@ -32,7 +32,7 @@
         (positions.applied_everywhere_at(5), positions.applied_everywhere_at(8)),
         (Some(at(2)), Some(at(3)))
     );
-    // One that appears with an older position does not have it.
+    // A gateway that joins with an older position has not applied the event.
     report(&mut positions, 4, 3, 6);
     assert_eq!((positions.applied_everywhere_at(6), positions.applied_everywhere_at(7)), (Some(at(4)), None));
 }
@@ -110,7 +110,7 @@
     #[test]
     fn the_aggregate_equals_that_of_all_reports(steps in prop::collection::vec(step(), 1..80)) {
         let mut positions = Positions::new(LIMITS);
-        // By name: the position, and when it was lost.
+        // The position and the time of the loss, by gateway name.
         let mut expected_positions: BTreeMap<String, (EventNumber, Option<MonotonicTime>)> = BTreeMap::new();
         for (now, step) in (1..).zip(steps) {
             match step {
--- a/crates/distribution/tests/relay.rs
+++ b/crates/distribution/tests/relay.rs
@@ -1,4 +1,4 @@
-//! A relay, case by case: who is taken, what each is sent, and each bound (E2 to E4 of
+//! Single cases of a relay: admission, the data sent to subscribers, and the limits (E2 to E4 of
 //! `docs/design/event-distribution.md`).
 mod common;
 use common::{list, purge, request, store_json, Driver, Reader, MICROSECOND, MILLISECOND, SECOND};
@@ -25,7 +25,7 @@
     }
 }
 
-/// A relay that is ready and has a full list of six stores, then purges up to `last`, in batches of one event.
+/// A ready relay with a full list of six stores as event 1 and purges up to `last`, in batches of one event.
 fn ready_relay(settings: RelaySettings, last: EventNumber) -> Driver {
     let mut driver = Driver::new(Relay::new(settings));
     let stores: Vec<_> = (0..6).map(|store| store_json(store, "up")).collect();
@@ -135,7 +135,7 @@
         assert_eq!((driver.relay.waiting(), driver.relay.subscribers()), (0, 0));
         assert!(accepted(&driver.heartbeat()).is_empty());
     }
-    // The operator's bound on all waits holds for this one too.
+    // A shorter admission timeout limits the wait for readiness as well.
     let limited = RelaySettings { admission_timeout: SECOND, ..settings() };
     let mut driver = Driver::new(Relay::new(limited));
     driver.subscribe(1, request(0));
@@ -150,7 +150,7 @@
         assert!(driver.subscribe(id, request(1)).is_empty());
     }
     assert_eq!(rejection(&driver.subscribe(1, request(1))), Some(RejectReason::NotReady));
-    // One that closes meanwhile makes room.
+    // A waiting subscriber that disconnects frees its place.
     assert!(accepted(&driver.input(Input::SubscriberDisconnected(3))).is_empty());
     assert_eq!(driver.relay.waiting(), 3);
     assert!(driver.subscribe(6, request(1)).is_empty());
@@ -172,7 +172,7 @@
     }
     driver.advance(SECOND);
     let out = driver.heartbeat();
-    // One that is caught up is not held up by those that are not.
+    // A caught-up subscriber does not wait behind those that have to catch up.
     assert_eq!(accepted(&out), [1, 5]);
     let rejected = |id| {
         out.iter().find_map(|output| match output {
@@ -182,7 +182,7 @@
     };
     assert_eq!((rejected(3), rejected(4)), (Some(RejectReason::Behind), Some(RejectReason::OtherHistory)));
     assert_eq!((driver.relay.catching_up(), driver.relay.waiting()), (1, 1));
-    // The wait for readiness counts towards that for catch-up, which is as long as ever.
+    // The wait for readiness counts towards the admission timeout, which is unchanged.
     let rest = timeout - SECOND;
     assert_eq!(rejection(&driver.advance(rest - MICROSECOND)), None);
     assert_eq!(rejection(&driver.advance(MICROSECOND)), Some(RejectReason::Busy));
@@ -195,7 +195,7 @@
     assert!(driver.subscribe(2, request(1)).is_empty());
     driver.input(Input::UpstreamDisconnected);
     assert!(driver.subscribe(3, request(1)).is_empty());
-    // A place becomes free, but nobody is admitted to a relay that is not ready.
+    // A catch-up place becomes free, but a relay that is not ready admits no subscribers.
     assert!(accepted(&driver.input(Input::SubscriberDisconnected(1))).is_empty());
     let out = driver.advance(RelaySettings::default().readiness_timeout);
     let rejects = |output: &&Output| matches!(output, Output::Reject { reason: RejectReason::NotReady, .. });
@@ -267,7 +267,7 @@
         assert_eq!(reader.view.stores.len(), 6);
         assert!(reader.view.floor >= cursor + 2, "{cursor}: {}", reader.view.floor);
     }
-    // The smallest jump there can be: the log begins right after the event that is missing.
+    // The smallest possible jump: the log begins directly after the missing event.
     let mut driver = ready_relay(RelaySettings { log: LogLimits { events: 1, ..limits }, ..settings() }, 30);
     let mut late = reader(&mut driver, 1, request(28));
     late.pull_all(&mut driver.relay, driver.now);
@@ -377,7 +377,7 @@
         assert_eq!(driver.relay.next_chunk(driver.now, id), None);
     }
     assert_eq!(rejection(&driver.subscribe(6, request(1))), Some(RejectReason::Busy));
-    // One that is caught up is not held up by those that are not.
+    // A caught-up subscriber does not wait behind those that have to catch up.
     assert_eq!(accepted(&driver.subscribe(7, request(60))), [7]);
     readers[0].pull_all(&mut driver.relay, driver.now);
     assert_eq!(accepted(&driver.input(Input::Tick)), [3]);
--- a/crates/distribution/tests/relay_histories.rs
+++ b/crates/distribution/tests/relay_histories.rs
@@ -1,6 +1,6 @@
-//! Random histories of two relays and several subscribers against a naive log that drops nothing, and a naive filter of
-//! the whole list: E1 and E2 of `docs/design/event-distribution.md`, S1 and S3 of `docs/design/site-lists.md`. Stores
-//! move between sites and classes under their host names. Faults that are planted must be found.
+//! Random histories of two relays and several subscribers, compared with the complete history and a simple filter of
+//! the full list (E1 and E2 of `docs/design/event-distribution.md`, S1 and S3 of `docs/design/site-lists.md`). Stores
+//! move between sites and classes under the same host name. Planted faults must be detected.
 mod common;
 use common::{
     group_purge, list, next_inputs, placed_store_json, purge, snapshot_before_last, Driver, Reader, View,
@@ -22,7 +22,7 @@
 const SITE: &str = "east";
 const SOURCE_CLASS: &str = "hub";
 
-/// Where a store is listed.
+/// A store and the site and class under which it is listed.
 #[derive(Debug, Clone, Copy)]
 struct PlacedStore {
     store: u64,
@@ -42,15 +42,15 @@
     (0..6_u64, site, class).prop_map(|(store, site, class)| PlacedStore { store, site, class })
 }
 
-/// What is planted.
+/// A fault planted to check that the test detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlantedFault {
     None,
-    /// The scope forgets the sources of its site's stores.
+    /// The scope does not include the sources of its site's stores.
     SourcesForgotten,
     /// A store that has left the scope stays listed.
     MovedStoreStays,
-    /// A snapshot holds the whole list.
+    /// A snapshot contains the full list in spite of the scope.
     SnapshotIgnoresScope,
 }
 
@@ -60,17 +60,17 @@
     Group(u64),
     Store(PlacedStore, &'static str),
     FullList(Vec<PlacedStore>),
-    /// The relay reads so many events; from a log that is compacted or not.
+    /// The relay reads a number of events, from a compacted log or not.
     Feed {
         relay: usize,
         events: u64,
         compacted: bool,
     },
-    /// The relay was away for too long and gets a snapshot.
+    /// The relay was disconnected for too long and gets a snapshot.
     Gap {
         relay: usize,
     },
-    /// The relay is started anew, and has the complete history or begins with a snapshot.
+    /// The relay restarts and begins with the complete history or with a snapshot.
     Restart {
         relay: usize,
         snapshot: bool,
@@ -131,7 +131,7 @@
     }
 }
 
-/// One subscriber, and the connection that it has.
+/// A subscriber and its connection.
 struct Client {
     reader: Reader,
     scope: Option<String>,
@@ -144,7 +144,7 @@
     settings: RelaySettings,
     fault: PlantedFault,
     history: Vec<Event>,
-    /// The source's own log: compacted, never evicted.
+    /// The source's log, which is compacted but never evicted.
     source: EventLog,
     relays: Vec<Driver>,
     clients: Vec<Client>,
@@ -180,7 +180,7 @@
         self.history.len() as EventNumber + 1
     }
 
-    /// An event as the source's log has it, or as it was.
+    /// An event as in the source's compacted log, or in its original form.
     fn event(&self, number: EventNumber, compacted: bool) -> Event {
         let event = &self.history[number as usize - 1];
         if compacted {
@@ -201,7 +201,7 @@
                 Output::Accept(id) => self.client(relay, id).accepted = true,
                 Output::Disconnect { id, .. } => self.client(relay, id).relay = None,
                 Output::Reject { id, reason, .. } => {
-                    // All relays have one history here.
+                    // All relays have the same history in this test.
                     assert_ne!(reason, RejectReason::OtherHistory);
                     self.client(relay, id).relay = None;
                 }
@@ -222,7 +222,7 @@
         inputs.into_iter().for_each(|input| self.input(relay, input));
     }
 
-    /// The source's snapshot under the number before its last, then the last event.
+    /// Feeds the source's snapshot with the number before its last event, then the last event.
     fn feed_snapshot(&mut self, relay: usize) {
         let last = self.next_number() - 1;
         let next = self.relays[relay].relay.log().last() + 1;
@@ -257,7 +257,7 @@
         self.next_id += 1;
         let client = &mut self.clients[index];
         let mut view = std::mem::take(&mut client.reader.view);
-        // It resumes after the last event that came with its text.
+        // The subscriber resumes after the last event received with its own text.
         let digest = view.verified.map(|(number, digest)| {
             view.cursor = number;
             digest
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Faults end: both relays read everything, two more events come, every subscriber reads to the end.
+    /// Ends all failures: new events are appended, both relays read all events, and every subscriber reads to the end.
     fn settle(&mut self) {
         for _ in 0..3 {
             let number = self.next_number();
@@ -342,7 +342,7 @@
     }
 }
 
-/// The list that a relay has merged, without any filter.
+/// The full store list of a relay, without a scope.
 fn full_list(relay: &Relay) -> BTreeMap<String, String> {
     let mut view = View::default();
     let data = relay.log().snapshot(1, |_| true);
@@ -350,7 +350,7 @@
     view.stores
 }
 
-/// The naive filter: by the text of an entry alone.
+/// A simple reference filter by the text of an entry.
 fn in_scope(stores: &BTreeMap<String, String>, scope: Option<&String>) -> BTreeMap<String, String> {
     let is_own = |entry: &str| entry.contains("\"site\":\"east\"") || !entry.contains("\"site\"");
     let is_source = |entry: &str| entry.contains("\"class\":\"hub\"");
@@ -361,14 +361,14 @@
         .collect()
 }
 
-/// A history: its steps, the events of a relay's log, and the batches of its ring.
+/// A random history: its steps, and the limits of a relay's log (events) and ring (batches).
 type RandomHistory = (Vec<Step>, usize, usize);
 
 fn history() -> impl Strategy<Value = RandomHistory> {
     (prop::collection::vec(step(), 1..120), 3..60_usize, 1..8_usize)
 }
 
-/// Plays a history to its end: every subscriber has the naive state, or a floor.
+/// Runs a history to its end and checks that every subscriber has the expected state or a floor.
 fn run_history((steps, events, ring): RandomHistory, fault: PlantedFault) -> Result<(), TestCaseError> {
     let mut world = World::new(settings(events, ring, fault), fault);
     let first = [SITE, "west", SITE, "west"].into_iter().zip(0..);
@@ -403,7 +403,7 @@
     }
 }
 
-/// Each fault shows within as many histories as the property is tested with.
+/// Each planted fault must be detected within the number of histories with which the property is tested.
 #[test]
 fn planted_faults_of_a_scope_are_found() {
     for fault in
--- a/crates/distribution/tests/rollout_model.rs
+++ b/crates/distribution/tests/rollout_model.rs
@@ -1,5 +1,5 @@
-//! C1, C4 and C6 of `docs/design/configuration-events.md` by exhaustion: a rollout, a relay's log, and three gateways
-//! that read, report, restart and cannot apply what they are sent, in every order. Planted faults must be found.
+//! Model check of C1, C4 and C6 of `docs/design/configuration-events.md`: a rollout, a relay's log, and three gateways
+//! that read, report, restart and reject documents, in every order. Planted faults must be detected.
 mod common;
 use common::documents::{changes, document, id, wanted, Gateway, BAD};
 use common::{compacted, list, read, store_json, START};
@@ -18,41 +18,41 @@
 
 const ZONES: [&str; 3] = ["z-1", "z-2", "z-3"];
 const TIME_STEP: Duration = Duration::from_secs(1);
-/// Steps of time at most.
+/// Maximum number of time steps.
 const MAX_STEPS: u8 = 2;
-/// Restarts of gateways at most.
+/// Maximum number of gateway restarts.
 const MAX_FAULTS: u8 = 1;
-/// So few that a gateway which has restarted is given a snapshot.
+/// Small enough that a restarted gateway receives a snapshot.
 const LOG: LogLimits = LogLimits { events: 3, bytes: 1 << 20 };
 const NEW_VERSION: u64 = 2;
 
-/// A fault planted to see that the model finds it.
+/// A fault planted to check that the model detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlantedFault {
     Nothing,
     /// A relay's snapshot has no documents.
     SnapshotWithoutDocuments,
-    /// A staged version replaces the version for all in the log.
+    /// A staged version replaces the version for all gateways in the log.
     StagedReplacesVersionForAll,
-    /// The rollout goes by the position alone.
+    /// The rollout considers positions but no rejections.
     RejectionsNotObserved,
     /// A gateway reports a position before it has tried the documents of its event.
     PositionBeforeDecision,
-    /// A report counts rejections, but a relay above drops the gateways that are gone at once.
+    /// An upstream relay drops disconnected gateways from its report immediately.
     LostGatewaysNotCounted,
 }
 
 struct World {
     planted_fault: PlantedFault,
-    /// By history: what is made of it, for few histories are met in many states.
+    /// Data derived from each history, cached because many states share the same history.
     derived: Mutex<BTreeMap<Vec<Arc<str>>, Arc<Derived>>>,
 }
 
-/// What is made of a history.
+/// Data derived from a history.
 struct Derived {
     events: Vec<Event>,
     log: EventLog,
-    /// By gateway.
+    /// The wanted documents of each gateway.
     wanted: Vec<BTreeMap<String, (EventNumber, Document)>>,
 }
 
@@ -73,7 +73,7 @@
     gateway: Gateway,
     reported: Option<Report>,
     connected: bool,
-    /// Whether it has ever had the new version in force.
+    /// Whether the gateway has ever had the new version in force.
     has_applied: bool,
 }
 
@@ -85,11 +85,11 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Seen {
-    /// C1: a gateway that has read everything has other documents than the history says.
+    /// C1: a gateway that has read the complete history does not have its documents in force.
     other_documents: bool,
-    /// C6: a wider stage, or completion, while a gateway of the stage before has not applied the version.
+    /// C6: the next stage or completion was reached before all gateways of the previous stage had applied the version.
     too_early: bool,
-    /// C6: a stage after the halt.
+    /// C6: a stage was published after the halt.
     stage_after_halt: bool,
     completed: bool,
     halted: bool,
@@ -108,18 +108,18 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Action {
-    /// A gateway reads the next event, or a snapshot, and reports.
+    /// A gateway reads the next event or a snapshot, and reports its position.
     Deliver(usize),
     Restart(usize),
     Observe,
-    /// A step of time passes.
+    /// One time step passes.
     Pass,
     /// An operator publishes another document.
     PublishOther,
     RollBack,
 }
 
-/// The new version goes to the first zone, then to the second as well, then to all.
+/// A plan with stages for the first zone, for the first two zones, and for all gateways.
 fn plan() -> RolloutPlan {
     RolloutPlan {
         id: id("a"),
@@ -151,7 +151,7 @@
         self.history.push(changes(self.next_number(), [document]).data);
     }
 
-    /// Hands an input to the rollout, and does what it says.
+    /// Passes an input to the rollout and carries out its outputs.
     fn drive(&mut self, input: RolloutInput) {
         let was_halted =
             matches!(self.rollout.state(), RolloutState::Halted | RolloutState::RollingBack { .. });
@@ -175,7 +175,7 @@
         }
     }
 
-    /// C6: what the stage before this one targets has applied the version.
+    /// C6: checks that all gateways of the previous stage have applied the version.
     fn check_stage_before(&mut self, stage: usize) {
         let Some(before) = stage.checked_sub(1) else { return };
         let document = self.rollout.plan().document(before);
@@ -243,7 +243,7 @@
         entry.reported = Some(Report { applied, observation });
     }
 
-    /// What the relay says of all gateways, by the program's own positions.
+    /// Passes the relay's aggregated report of all gateways to the rollout.
     fn observe(&self, state: &mut State) {
         let derived = self.derived(state);
         for stored in derived.log.documents().iter().filter(|stored| stored.document.id == id("a")) {
@@ -271,7 +271,7 @@
     }
 }
 
-/// C1 and C3: the wanted documents are in force, but for those that the gateway rejects.
+/// C1 and C3: whether all wanted documents are in force, except those that the gateway rejects.
 fn has_wanted(gateway: &Gateway, wanted: &BTreeMap<String, (EventNumber, Document)>) -> bool {
     let in_force = gateway.in_force();
     let rejected = gateway.rejected();
@@ -285,7 +285,7 @@
     type State = State;
     type Action = Action;
 
-    /// The new version can be applied everywhere, or not by the gateway of one zone.
+    /// Initial states in which all gateways can apply the new version, or all but the gateway of one zone.
     fn init_states(&self) -> Vec<State> {
         let state = |rejecting: Option<usize>| {
             let gateway = |(index, zone): (usize, &&str)| {
@@ -302,7 +302,7 @@
                 seen: Seen::default(),
             };
             state.publish(document("a", 1, Some("1")));
-            // All gateways are there and up to date.
+            // All gateways are connected and up to date.
             for index in 0..ZONES.len() {
                 for event in &self.derived(&state).events {
                     state.gateways[index].gateway.read(event);
--- a/crates/distribution/tests/site_lists.rs
+++ b/crates/distribution/tests/site_lists.rs
@@ -1,6 +1,6 @@
-//! The list of a site and its sources leads the decision module to the same choices as the whole list: S2 of
-//! `docs/design/site-lists.md`. Random lists, requests, outcomes and changes of the list, with stores that move;
-//! scopes that are wrong must be found.
+//! With the store list reduced to a site and its sources, the decision module makes the same choices as with the full
+//! list (S2 of `docs/design/site-lists.md`). Uses random lists, requests, outcomes and list changes with stores that
+//! move between sites. Planted faults in scopes must be detected.
 mod common;
 use larchway::{
     Action, Class, Effect, Event, Group, Host, Members, MonotonicTime, Note, Outcome, ParentWeights, Request,
@@ -12,7 +12,7 @@
 use proptest::test_runner::{TestCaseError, TestRunner};
 use std::time::Duration;
 
-/// Sites and classes as the list names them: by their places in the settings.
+/// Sites and classes are listed by their indices in the settings.
 const OWN_SITE: usize = 1;
 const SITES: usize = 4;
 const CACHE: usize = 0;
@@ -32,7 +32,7 @@
     class: usize,
     state: usize,
     weight: u32,
-    /// ms since its start; none where it started long ago.
+    /// Time since its start in ms; `None` if it started long ago.
     age_ms: Option<u64>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// An entry as a gateway reads it; what a removal does not say is 0.
+/// An entry as read by a gateway. Numbers missing in a removal are 0.
 fn host(json: &str) -> Host {
     let value: serde_json::Value = serde_json::from_str(json).expect("an entry");
     let number = |key: &str| value[key].as_u64().unwrap_or(0);
@@ -86,7 +86,7 @@
         size_kb: u32,
         ttl_ms: u64,
     },
-    /// The end of one of the attempts in flight.
+    /// The outcome of an attempt in flight.
     Outcome {
         which: prop::sample::Index,
         status: Status,
@@ -110,7 +110,7 @@
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
-    // Most caches stand at two sites, so that they move in and out of the own one.
+    // Most caches are at one of two sites, so that they often move into and out of the router's own site.
     let site = prop_oneof![4 => Just(OWN_SITE), 2 => Just(OWN_SITE + 1), 1 => 0..SITES];
     let class = prop_oneof![6 => Just(CACHE), 2 => Just(PARENT), 1 => Just(ORIGIN), 1 => Just(CACHE + 3)];
     let state = prop_oneof![8 => Just(0_usize), 1 => Just(1), 1 => Just(2)];
@@ -205,11 +205,11 @@
     )
 }
 
-/// How the list that a router is fed is reduced.
+/// How the list of a router is reduced.
 #[derive(Debug, Clone)]
 enum Reduction {
     Scope(Scope),
-    /// A planted fault: a change of a store outside of the scope is left out, so that one that has moved stays.
+    /// A planted fault: entries outside of the scope are omitted instead of removed, so a moved store stays listed.
     WithoutRemovals(Scope),
 }
 
@@ -230,7 +230,7 @@
     indices.iter().map(ToString::to_string).collect()
 }
 
-/// The own site and its sources.
+/// The scope of the router's own site and its sources.
 fn site_scope() -> Scope {
     let sources = SourceScope { classes: names(&[PARENT, ORIGIN]), sites: Vec::new() };
     Scope { sites: names(&[OWN_SITE]), sources: Some(sources), ..Scope::default() }
@@ -244,7 +244,7 @@
     sent: MonotonicTime,
 }
 
-/// A router that is fed the whole list, and one that is fed what a scope leaves of it.
+/// A router with the full list, and one with the reduced list.
 struct Pair {
     whole: Router,
     reduced: Router,
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Hands the same event to both.
+    /// Passes the same event to both routers and compares their actions.
     fn handle(&mut self, event: &Event) -> Result<(), TestCaseError> {
         self.handle_each(event.clone(), event.clone())
     }
@@ -380,14 +380,14 @@
     }
 }
 
-/// A history: settings, the first list and steps.
+/// A random history: settings, the first list, and steps.
 type RandomHistory = (Settings, Vec<Entry>, Vec<Step>);
 
 fn history() -> impl Strategy<Value = RandomHistory> {
     (settings(), prop::collection::vec(entry(), 1..30), prop::collection::vec(step(), 1..200))
 }
 
-/// Plays a history; fails at the first choice that differs. Returns the attempts made.
+/// Runs a history. Fails at the first difference between the routers. Returns the number of attempts.
 fn run_history(
     (settings, first, steps): &RandomHistory,
     reduction: Reduction,
@@ -409,7 +409,7 @@
     }
 }
 
-/// A scope may hold more than the site needs; and the histories that are compared hold attempts.
+/// A scope may include more than the site needs. Also checks that the compared histories contain enough attempts.
 #[test]
 fn wider_scopes_lead_to_the_same_choices() {
     let wider = Scope { sites: names(&[OWN_SITE, OWN_SITE + 1]), ..site_scope() };
@@ -423,7 +423,7 @@
     assert!(attempts.get() > 2_000, "{} attempts compared", attempts.get());
 }
 
-/// Each fault shows within as many histories as the property is tested with.
+/// Each planted fault must be detected within the number of histories with which the property is tested.
 #[test]
 fn planted_faults_of_a_scope_change_choices() {
     let site_alone = Scope { sources: None, ..site_scope() };
