--- a/crates/distribution/examples/bytes_per_event.rs
+++ b/crates/distribution/examples/bytes_per_event.rs
@@ -48,9 +48,9 @@
 }
 
 fn print_row(batch_ms: u64, name: &str, texts: &[String], encode: impl Fn(&str) -> usize) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let bytes: usize = texts.iter().map(|text| encode(text)).sum();
-    let micros = began.elapsed().as_secs_f64() * 1e6;
+    let micros = started_at.elapsed().as_secs_f64() * 1e6;
     let events = (PURGES_PER_SECOND * SECONDS) as f64;
     let per_event = bytes as f64 / events;
     let per_second = bytes as f64 / SECONDS as f64;
--- a/crates/distribution/examples/relay_cost.rs
+++ b/crates/distribution/examples/relay_cost.rs
@@ -52,7 +52,7 @@
     let mut relay = ready_relay(subscribers);
     let encoded_before = relay.statistics().encoded_bytes;
     let (mut out, mut chunks) = (Vec::new(), 0u64);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut now = START;
     for number in 1..=PURGES {
         now += PURGE_EVERY;
@@ -67,11 +67,14 @@
             }
         }
     }
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let share = 100.0 * seconds / SECONDS as f64;
     let encoded = (relay.statistics().encoded_bytes - encoded_before) / SECONDS;
-    let held = relay.bytes() >> 10;
-    println!("| {subscribers} | {share:.2} | {:.2} | {encoded} | {held} |", seconds * 1e6 / chunks as f64);
+    let memory_kib = relay.bytes() >> 10;
+    println!(
+        "| {subscribers} | {share:.2} | {:.2} | {encoded} | {memory_kib} |",
+        seconds * 1e6 / chunks as f64
+    );
 }
 
 fn main() {
--- a/crates/distribution/tests/batch.rs
+++ b/crates/distribution/tests/batch.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn events_and_heartbeats_have_the_form_of_the_bulletin() {
+fn events_and_heartbeats_have_the_wire_format() {
     assert_eq!(text(7, 8), "id: 7\ndata: {\"no\":7}\n\n: heard 1764576000123\n\n");
 }
 
--- a/crates/distribution/tests/configuration_histories.rs
+++ b/crates/distribution/tests/configuration_histories.rs
@@ -13,7 +13,7 @@
 
 /// A document entry of an event: name, kind of content, and targets.
 #[derive(Debug, Clone)]
-struct Entry {
+struct RandomEntry {
     name: &'static str,
     content: Content,
     targets: Option<Targets>,
@@ -28,13 +28,13 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Changes(Vec<Entry>),
-    FullList(Vec<Entry>),
+    Changes(Vec<RandomEntry>),
+    FullList(Vec<RandomEntry>),
     Purge(u64),
     Store(u64),
 }
 
-fn entries(max: usize) -> impl Strategy<Value = Vec<Entry>> {
+fn entries(max: usize) -> impl Strategy<Value = Vec<RandomEntry>> {
     let content =
         prop_oneof![4 => Just(Content::Good), 1 => Just(Content::Bad), 1 => Just(Content::Withdrawn)];
     let targets = prop_oneof![
@@ -43,7 +43,7 @@
         1 => Just(Some(zone("z-2"))),
     ];
     let entry = (prop::sample::select(&NAMES[..]), content, targets);
-    let entry = entry.prop_map(|(name, content, targets)| Entry { name, content, targets });
+    let entry = entry.prop_map(|(name, content, targets)| RandomEntry { name, content, targets });
     prop::collection::vec(entry, 0..=max).prop_map(|mut entries| {
         entries.sort_by_key(|entry| (entry.name, entry.targets.is_some()));
         entries.dedup_by_key(|entry| (entry.name, entry.targets.is_some()));
@@ -62,8 +62,8 @@
 }
 
 /// Creates the documents of an event. Their version number equals the event number.
-fn documents(entries: &[Entry], number: EventNumber) -> Vec<Document> {
-    let document = |entry: &Entry| {
+fn documents(entries: &[RandomEntry], number: EventNumber) -> Vec<Document> {
+    let document = |entry: &RandomEntry| {
         let content = match entry.content {
             Content::Good => Some(format!("{{\"n\": {number}}}")),
             Content::Bad => Some(format!("\"{BAD} {number}\"")),
--- a/crates/distribution/tests/event.rs
+++ b/crates/distribution/tests/event.rs
@@ -4,7 +4,7 @@
 use larchway_unix_time::UnixMicros;
 
 #[test]
-fn reads_each_form_of_the_bulletin() {
+fn reads_each_event_form() {
     let store = Subject::Store("s-1".to_string());
     let cases = [
         (
--- a/crates/distribution/tests/site_lists.rs
+++ b/crates/distribution/tests/site_lists.rs
@@ -26,7 +26,7 @@
 
 /// The entry of a store.
 #[derive(Debug, Clone, Copy)]
-struct Entry {
+struct RandomEntry {
     store: u64,
     site: usize,
     class: usize,
@@ -36,9 +36,9 @@
     age_ms: Option<u64>,
 }
 
-impl Entry {
+impl RandomEntry {
     fn json(self, now: MonotonicTime) -> String {
-        let Entry { store, site, class, state, weight, age_ms } = self;
+        let RandomEntry { store, site, class, state, weight, age_ms } = self;
         let state = STATES[state];
         let started = age_ms.map_or(0, |age| now.as_micros() - age * 1000);
         let cell = store % 2;
@@ -78,8 +78,8 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Changes(Vec<Entry>),
-    FullList(Vec<Entry>),
+    Changes(Vec<RandomEntry>),
+    FullList(Vec<RandomEntry>),
     Request {
         class: usize,
         object: u64,
@@ -109,14 +109,21 @@
     },
 }
 
-fn entry() -> impl Strategy<Value = Entry> {
+fn entry() -> impl Strategy<Value = RandomEntry> {
     // Most caches are at one of two sites, so that they often move into and out of the router's own site.
     let site = prop_oneof![4 => Just(OWN_SITE), 2 => Just(OWN_SITE + 1), 1 => 0..SITES];
     let class = prop_oneof![6 => Just(CACHE), 2 => Just(PARENT), 1 => Just(ORIGIN), 1 => Just(CACHE + 3)];
     let state = prop_oneof![8 => Just(0_usize), 1 => Just(1), 1 => Just(2)];
     let age_ms = prop::option::weighted(0.2, 0..15_000_u64);
     (0..STORES, site, class, state, 0..5_u32, age_ms).prop_map(
-        |(store, site, class, state, weight, age_ms)| Entry { store, site, class, state, weight, age_ms },
+        |(store, site, class, state, weight, age_ms)| RandomEntry {
+            store,
+            site,
+            class,
+            state,
+            weight,
+            age_ms,
+        },
     )
 }
 
@@ -295,7 +302,7 @@
         Ok(())
     }
 
-    fn list(&mut self, entries: &[Entry], is_full: bool) -> Result<(), TestCaseError> {
+    fn list(&mut self, entries: &[RandomEntry], is_full: bool) -> Result<(), TestCaseError> {
         let hosts: Vec<String> = entries.iter().map(|entry| entry.json(self.now)).collect();
         let hosts = hosts.join(",");
         let data = format!(r#"{{"no":1,"roster":{{"seq":1,"whole":{is_full},"hosts":[{hosts}]}}}}"#);
@@ -381,7 +388,7 @@
 }
 
 /// A random history: settings, the first list, and steps.
-type RandomHistory = (Settings, Vec<Entry>, Vec<Step>);
+type RandomHistory = (Settings, Vec<RandomEntry>, Vec<Step>);
 
 fn history() -> impl Strategy<Value = RandomHistory> {
     (settings(), prop::collection::vec(entry(), 1..30), prop::collection::vec(step(), 1..200))
--- a/crates/distribution/tests/subscriber.rs
+++ b/crates/distribution/tests/subscriber.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn missing_and_unreadable_events_are_requested_once_more_and_then_skipped() {
+fn missing_and_unreadable_events_are_requested_again_once_and_then_skipped() {
     let mut rig = Rig::new(settings(SourceKind::Plain, 1), 0);
     let unreadable = Input::Event(EventMetadata { number: None, digest: None, is_full_list: false });
     rig.expect_dial();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_event_whose_number_is_past_the_largest_is_unreadable() {
+fn an_event_number_above_the_maximum_is_unreadable() {
     for number in [MAX_EVENT_NUMBER + 1, EventNumber::MAX] {
         let mut rig = Rig::new(settings(SourceKind::Plain, 1), 0);
         rig.expect_dial();
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn the_name_of_a_subscriber_is_sent_where_a_header_can_hold_it() {
+fn a_subscriber_name_is_sent_only_if_it_is_a_valid_header_value() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 1), 0);
     let (_, request) = rig.expect_dial();
     let unnamed = request.to_http(None);
@@ -324,7 +324,7 @@
 /// E1 and E2: events without a digest do not identify the history, so a snapshot at the cursor may be of a different
 /// one.
 #[test]
-fn a_snapshot_at_the_cursor_is_a_gap_if_it_is_past_what_was_requested() {
+fn a_snapshot_at_the_cursor_is_a_gap_if_it_is_past_the_requested_number() {
     let mut rig = Rig::new(settings(SourceKind::Relay, 2), 0);
     rig.expect_dial();
     (1..=5).for_each(|number| drop(rig.event(number)));
