--- a/crates/distribution/src/configuration/rollout.rs
+++ b/crates/distribution/src/configuration/rollout.rs
@@ -28,7 +28,7 @@
 /// Reasons for halting a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum HaltReason {
-    /// More gateways reject the version than tolerated; with the rejections.
+    /// More gateways reject the version than tolerated. Holds the rejections.
     Rejected(Vec<RejectedVersion>),
     /// The relays omitted rejections, which may concern the version.
     RejectionsOmitted,
@@ -106,17 +106,17 @@
     ///
     /// # Errors
     ///
-    /// Fails if the plan is not allowed, naming the key.
+    /// Fails, naming the key, if the plan is invalid.
     pub fn new(plan: RolloutPlan) -> Result<Rollout, PlanError> {
         plan.check()?;
         Ok(Rollout { plan, state: RolloutState::Planned })
     }
 
-    /// Resumes a rollout after a restart of its publisher. `held` is the document version stored by the relays.
+    /// Resumes a rollout after a restart of its publisher. `stored` is the document version stored by the relays.
     ///
     /// # Errors
     ///
-    /// Fails if the plan is not allowed, naming the key.
+    /// Fails, naming the key, if the plan is invalid.
     pub fn resume(
         now: MonotonicTime,
         plan: RolloutPlan,
--- a/crates/distribution/src/relay/messages.rs
+++ b/crates/distribution/src/relay/messages.rs
@@ -96,15 +96,16 @@
 /// Reasons for disconnecting a subscriber.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DisconnectReason {
-    /// It fell behind the sealed batches for the second time, or could not return to catch-up.
+    /// The subscriber fell behind the sealed batches for the second time, or could not return to catch-up.
     FellBehind,
-    /// It left a batch unread for too long.
+    /// The subscriber left a batch unread for longer than the stall timeout.
     Stalled,
-    /// It did not catch up in time.
+    /// The subscriber did not catch up within the catch-up timeout.
     CatchUpTooSlow,
-    /// The events it needs are no longer in the log, and no complete store list is available for a snapshot.
+    /// The events that the subscriber needs are no longer in the log, and no complete store list is available for a
+    /// snapshot.
     NoSnapshot,
-    /// Events are missing without a visible jump in the numbers. It has to reconnect to get a snapshot.
+    /// Events are missing without a visible jump in the numbers. The subscriber has to reconnect to get a snapshot.
     HiddenGap,
     /// The relay stopped serving because upstream has a different history.
     StoppedServing,
@@ -121,7 +122,7 @@
         id: SubscriberId,
         /// Why.
         reason: RejectReason,
-        /// Time after which it may retry; sent as `Retry-After` with status 503.
+        /// Time after which the subscriber may retry; sent as `Retry-After` with status 503.
         retry_after: Duration,
     },
     /// Close this subscriber's connection. The relay has already removed its state.
--- a/crates/distribution/tests/failover_model.rs
+++ b/crates/distribution/tests/failover_model.rs
@@ -56,7 +56,7 @@
     /// Number of the snapshot with which its log began, if any.
     snapshot: Option<EventNumber>,
     last: EventNumber,
-    /// Whether it is connected to the source and has caught up since.
+    /// Whether the relay is connected to the source and has caught up since.
     ready: bool,
 }
 
