--- a/crates/distribution/tests/batch.rs
+++ b/crates/distribution/tests/batch.rs
@@ -1,4 +1,4 @@
-//! The bytes of the event stream, read by a standard gzip decoder.
+//! The encoded event stream, decoded by a standard gzip decoder.
 use flate2::read::GzDecoder;
 use larchway_distribution::batch::{
     encode, encode_at_level, write_event, write_heartbeat, Encoding, GZIP_HEADER,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn events_and_heartbeats_have_the_form_of_the_bulletin() {
+fn events_and_heartbeats_have_the_wire_format() {
     assert_eq!(text(7, 8), "id: 7\ndata: {\"no\":7}\n\n: heard 1764576000123\n\n");
 }
 
--- a/crates/distribution/tests/event.rs
+++ b/crates/distribution/tests/event.rs
@@ -1,10 +1,10 @@
-//! What `Event::read` makes of the bulletin's forms.
+//! Parsing of the bulletin's event forms by `Event::read`.
 use larchway_distribution::event::MAX_EVENT_NUMBER;
 use larchway_distribution::{Event, EventError, Subject};
 use larchway_unix_time::UnixMicros;
 
 #[test]
-fn reads_each_form_of_the_bulletin() {
+fn reads_each_event_form() {
     let store = Subject::Store("s-1".to_string());
     let cases = [
         (
