--- a/crates/cluster/src/tiers/detection.rs
+++ b/crates/cluster/src/tiers/detection.rs
@@ -61,14 +61,14 @@
     }
 
     fn detect(&mut self, now: MonotonicTime, input: DetectorInput<'_>, outputs: &mut Vec<Output>) {
-        let mut detected = Vec::new();
-        self.detector.handle(now, input, &mut detected);
-        for output in detected {
-            self.apply_output(output, outputs);
+        let mut detector_outputs = Vec::new();
+        self.detector.handle(now, input, &mut detector_outputs);
+        for output in detector_outputs {
+            self.apply_detector_output(output, outputs);
         }
     }
 
-    fn apply_output(&mut self, output: DetectorOutput, outputs: &mut Vec<Output>) {
+    fn apply_detector_output(&mut self, output: DetectorOutput, outputs: &mut Vec<Output>) {
         match output {
             DetectorOutput::Send { to, kind, body } => {
                 if let Some(to) = self.member_at(to) {
@@ -80,7 +80,7 @@
                     outputs.push(Output::StateChanged { member, state });
                 }
             }
-            DetectorOutput::Paused(span) => outputs.push(Output::Paused(span)),
+            DetectorOutput::Paused(duration) => outputs.push(Output::Paused(duration)),
             DetectorOutput::Isolated => {
                 self.is_isolated = true;
                 outputs.push(Output::Isolated);
--- a/crates/cluster/src/tiers/topology.rs
+++ b/crates/cluster/src/tiers/topology.rs
@@ -235,10 +235,10 @@
     }
 
     fn check_children(&self) -> Result<(), TopologyError> {
-        let names = ["site", "zone", "region"];
+        let tier_names = ["site", "zone", "region"];
         for tier in Tier::ALL {
             for group in &self.groups[tier.index()] {
-                let (what, children) = (names[tier.index()], group.children.len());
+                let (what, children) = (tier_names[tier.index()], group.children.len());
                 if children > MAX_CHILDREN {
                     return Err(TopologyError::TooManyChildren { what, name: group.name.clone(), children });
                 }
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -70,7 +70,7 @@
 impl Relay {
     /// Creates a relay with an empty log.
     pub fn new(settings: RelaySettings) -> Relay {
-        let ring = RingLimits {
+        let ring_limits = RingLimits {
             batch_interval: settings.batch_interval,
             batch_bytes: settings.batch_bytes,
             max_batches: settings.max_batches,
@@ -78,7 +78,7 @@
         };
         Relay {
             log: EventLog::new(settings.log),
-            ring: BatchRing::new(ring),
+            ring: BatchRing::new(ring_limits),
             pages: PageCache::new(settings.page_events, settings.cache_bytes),
             encoder: Encoder::new(settings.gzip_level, &settings.scopes),
             subscribers: Subscribers::default(),
--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/distribution/tests/common/mod.rs
@@ -110,8 +110,8 @@
     }
 
     pub fn read(&mut self, bytes: &[u8]) -> String {
-        let missing = GZIP_HEADER.len() - self.header.len();
-        let (header, body) = bytes.split_at(missing.min(bytes.len()));
+        let missing_header_bytes = GZIP_HEADER.len() - self.header.len();
+        let (header, body) = bytes.split_at(missing_header_bytes.min(bytes.len()));
         self.header.extend_from_slice(header);
         assert_eq!(self.header, GZIP_HEADER[..self.header.len()]);
         let mut text = Vec::new();
--- a/gateway/src/clock/wire/tests.rs
+++ b/gateway/src/clock/wire/tests.rs
@@ -149,15 +149,15 @@
 
 #[test]
 fn the_age_of_a_copy_is_never_underestimated() {
-    let young = unix_before(NOW, Duration::from_millis(10));
-    let old = fast_clock(HOUR).copy(NOW, young).expect("it has a time");
+    let issued = unix_before(NOW, Duration::from_millis(10));
+    let copy_by_fast_clock = fast_clock(HOUR).copy(NOW, issued).expect("it has a time");
     assert_eq!(
-        old.issued_local,
+        copy_by_fast_clock.issued_local,
         NOW - HOUR - Duration::from_millis(10),
         "by a fast clock the copy seems older"
     );
     let mut times = slow_clock(HOUR);
-    assert_eq!(times.copy(NOW, young), None, "its time seems to be in the future");
+    assert_eq!(times.copy(NOW, issued), None, "its time seems to be in the future");
     purge_age(&mut times, NOW, unix_before(NOW, Duration::ZERO));
     let copy = times.copy(NOW, unix_before(NOW, 10 * SECOND)).expect("its time is not in the future");
     assert_eq!(copy.issued_local, NOW - 10 * SECOND);
--- a/gateway/src/core/object_cache.rs
+++ b/gateway/src/core/object_cache.rs
@@ -65,8 +65,8 @@
     /// For how long stores may still reply with copies issued before a purge.
     pub(super) fn purge_retention(&self) -> Duration {
         // Attempts in flight were decided before the purge, and may return an older copy until they end.
-        let longest = self.classes.slots().iter().map(|slot| slot.settings.deadline).max();
-        self.purge_window * PURGE_WINDOWS + longest.unwrap_or_default()
+        let longest_deadline = self.classes.slots().iter().map(|slot| slot.settings.deadline).max();
+        self.purge_window * PURGE_WINDOWS + longest_deadline.unwrap_or_default()
     }
 
     /// Handles a gap in the events, in which purges may be missing: invalidates all cached copies, and those to come
--- a/gateway/src/core/outcomes.rs
+++ b/gateway/src/core/outcomes.rs
@@ -54,11 +54,11 @@
         if attempt.get.source != attempt.get.server && !attempt.get.cached_only {
             self.observe_fill(now, attempt.get.source, fill);
         }
-        let open = self.requests.get_mut(attempt.request)?;
-        open.running_attempts -= 1;
+        let open_request = self.requests.get_mut(attempt.request)?;
+        open_request.running_attempts -= 1;
         if !status.never_ran() {
-            open.first_possible_run_at =
-                open.first_possible_run_at.into_iter().chain(attempt.first_byte_at).min();
+            open_request.first_possible_run_at =
+                open_request.first_possible_run_at.into_iter().chain(attempt.first_byte_at).min();
         }
         let served =
             if status == Status::Ok { self.mark_answered(attempt.request, RequestEnd::Served) } else { None };
@@ -106,10 +106,10 @@
     /// Withdraws the attempts of an answered request of which no byte is written, also in classes whose sent attempts
     /// must not be cancelled: no new work begins for a request that has its reply.
     pub(super) fn withdraw_unsent(&mut self, now: MonotonicTime, request: SlotKey) {
-        let Some(open) = self.requests.get(request) else { return };
+        let Some(open_request) = self.requests.get(request) else { return };
         let is_unsent =
             |key: &SlotKey| self.attempts.get(*key).is_some_and(|attempt| attempt.first_byte_at.is_none());
-        let unsent: Vec<SlotKey> = open.attempts.iter().copied().filter(is_unsent).collect();
+        let unsent: Vec<SlotKey> = open_request.attempts.iter().copied().filter(is_unsent).collect();
         for key in unsent {
             self.withdraw(now, key, Status::NeverSent);
         }
@@ -132,11 +132,11 @@
         let latency = now.saturating_since(attempt.created_at);
         let fill = FillResult { status: Status::Cancelled, note: Note::None, time: latency };
         self.end_fetch(now, attempt.fetch, fill);
-        let Some(open) = self.requests.get_mut(attempt.request) else { return };
-        open.running_attempts -= 1;
-        open.first_possible_run_at =
-            open.first_possible_run_at.into_iter().chain(attempt.first_byte_at).min();
-        let state = open.state();
+        let Some(open_request) = self.requests.get_mut(attempt.request) else { return };
+        open_request.running_attempts -= 1;
+        open_request.first_possible_run_at =
+            open_request.first_possible_run_at.into_iter().chain(attempt.first_byte_at).min();
+        let state = open_request.state();
         self.abandon_on_connection(attempt.connection, key, attempt.request);
         self.events.push_back(Event::Outcome(Outcome {
             id: attempt.request.0,
@@ -153,8 +153,8 @@
 
     /// Instructs the connection that carries an attempt to abandon it, if there is one.
     fn abandon_on_connection(&mut self, connection: Option<SlotKey>, attempt: SlotKey, request: SlotKey) {
-        if let (Some(connection), Some(open)) = (connection, self.requests.get(request)) {
-            let call_id = open.request.call_id.clone();
+        if let (Some(connection), Some(open_request)) = (connection, self.requests.get(request)) {
+            let call_id = open_request.request.call_id.clone();
             self.commands.push_back(Command::AbandonAttempt { connection, attempt, call_id });
         }
     }
--- a/gateway/src/net/ensemble.rs
+++ b/gateway/src/net/ensemble.rs
@@ -38,7 +38,7 @@
     /// Handles the membership deadline.
     pub(super) fn check_membership(&mut self, now: MonotonicTime) {
         self.membership_deadline = None;
-        let effects = self.membership.as_mut().map(|m| m.tick(now)).unwrap_or_default();
+        let effects = self.membership.as_mut().map(|membership| membership.tick(now)).unwrap_or_default();
         self.apply_membership_effects(now, effects);
     }
 
@@ -54,8 +54,8 @@
 
     /// Retries the connect to the ensemble that was postponed because of a local shortage, if its time has come.
     pub(super) fn retry_ensemble_connect(&mut self, now: MonotonicTime) {
-        if let Some(waiting) = take_due(&mut self.postponed_ensemble_connect, now) {
-            self.connect_to_ensemble(now, waiting.since, waiting.work);
+        if let Some(postponed) = take_due(&mut self.postponed_ensemble_connect, now) {
+            self.connect_to_ensemble(now, postponed.since, postponed.work);
         }
     }
 
@@ -74,8 +74,10 @@
             }
             Err(_) => {
                 self.ensemble_connection = None;
-                let effects =
-                    self.membership.as_mut().map(|m| m.handle_connection_lost(now, "no connection"));
+                let effects = self
+                    .membership
+                    .as_mut()
+                    .map(|membership| membership.handle_connection_lost(now, "no connection"));
                 self.apply_membership_effects(now, effects.unwrap_or_default());
             }
         }
@@ -90,9 +92,10 @@
             match effect {
                 Effect::Connect(address) => self.connect_to_ensemble(now, now, address),
                 Effect::Write(bytes) => {
-                    if let Some(conn) = self.ensemble_connection.and_then(|key| self.connections.get_mut(key))
+                    if let Some(connection) =
+                        self.ensemble_connection.and_then(|key| self.connections.get_mut(key))
                     {
-                        conn.output.bytes.extend_from_slice(&bytes);
+                        connection.output.bytes.extend_from_slice(&bytes);
                     }
                 }
                 Effect::Close(reason) => {
--- a/gateway/src/signed/token/tests.rs
+++ b/gateway/src/signed/token/tests.rs
@@ -55,10 +55,10 @@
 fn an_unsupported_restriction_denies_the_token() {
     let head = "{\"alg\":\"HS256\",\"kid\":\"new\"}";
     let uri_claim = "\"cdniuc\":\"regex:https://files[.]test/history-files/17/[0-9a-f]{16}/3\"";
-    let with = |claim: &str| check_token(&sign_token(head, &format!("{{{uri_claim}{claim}}}")), 1500);
-    assert_eq!(with(""), Ok(()));
+    let check_with = |claim: &str| check_token(&sign_token(head, &format!("{{{uri_claim}{claim}}}")), 1500);
+    assert_eq!(check_with(""), Ok(()));
     assert_eq!(
-        with(",\"iss\":\"desk\",\"aud\":[\"x\",\"larchway\"],\"cdniv\":1,\"cdnicrit\":[\"exp\"]"),
+        check_with(",\"iss\":\"desk\",\"aud\":[\"x\",\"larchway\"],\"cdniv\":1,\"cdnicrit\":[\"exp\"]"),
         Ok(())
     );
     for claim in [
@@ -70,7 +70,7 @@
         ",\"jti\":\"once\"",
         ",\"cdnistt\":1",
     ] {
-        assert_eq!(with(claim), Err(Denied::UnsatisfiedClaim), "{claim}");
+        assert_eq!(check_with(claim), Err(Denied::UnsatisfiedClaim), "{claim}");
     }
     assert_eq!(
         check_token(&sign_token(head, "{\"exp\":9999}"), 1500),
--- a/src/logic/subset/tests.rs
+++ b/src/logic/subset/tests.rs
@@ -84,9 +84,9 @@
 #[test]
 fn each_cache_is_in_about_as_many_subsets_as_any_other() {
     const ROUTERS: u64 = 1_600;
-    for seeds in [0, 1 << 40] {
+    for first_seed in [0, 1 << 40] {
         let mut subsets_of = vec![0_u32; CACHES as usize];
-        for router in seeds..seeds + ROUTERS {
+        for router in first_seed..first_seed + ROUTERS {
             let subset = members_of(&subset_of(router, (0..CACHES).map(cache)));
             for number in 0..CACHES {
                 subsets_of[number as usize] += u32::from(subset.contains(&cache(number)));
@@ -94,9 +94,12 @@
         }
         // Five standard deviations of independent draws for each router.
         let mean = ROUTERS as f64 * SUBSET_SIZE as f64 / CACHES as f64;
-        let most_off = 5.0 * mean.sqrt();
+        let max_deviation = 5.0 * mean.sqrt();
         for (number, count) in subsets_of.iter().enumerate() {
-            assert!((f64::from(*count) - mean).abs() < most_off, "cache {number}: {count} of {mean} subsets");
+            assert!(
+                (f64::from(*count) - mean).abs() < max_deviation,
+                "cache {number}: {count} of {mean} subsets"
+            );
         }
     }
 }
@@ -105,15 +108,15 @@
 #[test]
 fn a_cache_of_a_greater_weight_is_in_no_more_subsets() {
     for router in 0..50 {
-        let plain = subset_of(router, (0..CACHES).map(cache));
+        let unweighted = subset_of(router, (0..CACHES).map(cache));
         let mut weighted = CacheSubset::default();
         (0..CACHES).for_each(|number| weighted.set(router, cache(number), 1.0 + (number % 7) as f64));
-        assert_eq!(members_of(&plain), members_of(&weighted));
+        assert_eq!(members_of(&unweighted), members_of(&weighted));
         // A cache outside the subset keeps a changed weight when it becomes a member.
-        let first = *weighted.others.keys().next().expect("a cache outside");
-        weighted.set(router, first.server, 40.0);
+        let rank_outside = *weighted.others.keys().next().expect("a cache outside");
+        weighted.set(router, rank_outside.server, 40.0);
         let member = *members_of(&weighted).iter().next().expect("a member");
         weighted.remove(router, member);
-        assert_eq!(weighted.ranked_members.get(&first), Some(&40.0));
+        assert_eq!(weighted.ranked_members.get(&rank_outside), Some(&40.0));
     }
 }
--- a/tests/imports.rs
+++ b/tests/imports.rs
@@ -25,11 +25,11 @@
 }
 
 /// Collects the modules below a folder with their texts without comments.
-fn modules(folder: &Path, name: &Module, found: &mut BTreeMap<Module, String>) {
+fn modules(folder: &Path, parent: &Module, found: &mut BTreeMap<Module, String>) {
     for entry in std::fs::read_dir(folder).expect("a source folder").flatten() {
         let path = entry.path();
         let stem = path.file_stem().expect("a name").to_string_lossy().into_owned();
-        let mut module = name.clone();
+        let mut module = parent.clone();
         if path.is_dir() {
             module.push(stem);
             modules(&path, &module, found);
@@ -49,22 +49,22 @@
     let is_name = |c: char| c.is_alphanumeric() || c == '_';
     let mut found = Vec::new();
     for (at, _) in text.match_indices("::") {
-        let head = text[..at].rsplit(|c| !is_name(c)).next().unwrap_or("");
-        let before = &text[..at - head.len()];
-        if !matches!(head, "crate" | "self" | "super") || before.ends_with("::") {
+        let first_name = text[..at].rsplit(|c| !is_name(c)).next().unwrap_or("");
+        let before = &text[..at - first_name.len()];
+        if !matches!(first_name, "crate" | "self" | "super") || before.ends_with("::") {
             continue;
         }
-        let whole = &text[at - head.len()..];
-        let end = whole.find(|c| !is_name(c) && c != ':').unwrap_or(whole.len());
-        let stem: Vec<String> =
-            whole[..end].split("::").filter(|n| !n.is_empty()).map(String::from).collect();
-        let braced = whole[end..].strip_prefix('{').and_then(|rest| rest.split(';').next());
-        let Some(braced) = braced.filter(|_| whole[..end].ends_with("::")) else {
-            found.push(stem);
+        let path_text = &text[at - first_name.len()..];
+        let end = path_text.find(|c| !is_name(c) && c != ':').unwrap_or(path_text.len());
+        let prefix: Vec<String> =
+            path_text[..end].split("::").filter(|n| !n.is_empty()).map(String::from).collect();
+        let braced = path_text[end..].strip_prefix('{').and_then(|rest| rest.split(';').next());
+        let Some(braced) = braced.filter(|_| path_text[..end].ends_with("::")) else {
+            found.push(prefix);
             continue;
         };
         let names = braced.split(|c| !is_name(c)).filter(|name| !name.is_empty());
-        found.extend(names.map(|name| [stem.clone(), vec![name.to_string()]].concat()));
+        found.extend(names.map(|name| [prefix.clone(), vec![name.to_string()]].concat()));
     }
     found
 }
@@ -92,10 +92,10 @@
     for (module, text) in all {
         for path in paths(text) {
             let target = target(module, &path, all);
-            let shared = module.iter().zip(&target).take_while(|(a, b)| a == b).count();
-            if shared < module.len() && shared < target.len() {
-                let entry = uses.entry(module[..=shared].to_vec()).or_default();
-                entry.insert(target[..=shared].to_vec());
+            let shared_depth = module.iter().zip(&target).take_while(|(a, b)| a == b).count();
+            if shared_depth < module.len() && shared_depth < target.len() {
+                let entry = uses.entry(module[..=shared_depth].to_vec()).or_default();
+                entry.insert(target[..=shared_depth].to_vec());
             }
         }
     }
@@ -105,20 +105,22 @@
 /// The modules that a module uses directly or indirectly.
 fn reached(uses: &Uses, from: &Module) -> BTreeSet<Module> {
     let mut reached = BTreeSet::new();
-    let mut open = vec![from.clone()];
-    while let Some(module) = open.pop() {
+    let mut unvisited = vec![from.clone()];
+    while let Some(module) = unvisited.pop() {
         let next = uses.get(&module).into_iter().flatten();
-        open.extend(next.filter(|n| reached.insert((*n).clone())).cloned());
+        unvisited.extend(next.filter(|n| reached.insert((*n).clone())).cloned());
     }
     reached
 }
 
 /// The cycles among modules, each as the names of its modules.
 fn cycles(uses: &Uses) -> BTreeSet<BTreeSet<String>> {
-    let all: BTreeMap<&Module, BTreeSet<Module>> = uses.keys().map(|m| (m, reached(uses, m))).collect();
+    let reached_by_module: BTreeMap<&Module, BTreeSet<Module>> =
+        uses.keys().map(|m| (m, reached(uses, m))).collect();
     let mut cycles = BTreeSet::new();
-    for (module, reached) in all.iter().filter(|(module, reached)| reached.contains(**module)) {
-        let cycle = reached.iter().filter(|other| all.get(other).is_some_and(|r| r.contains(*module)));
+    for (module, reached) in reached_by_module.iter().filter(|(module, reached)| reached.contains(**module)) {
+        let cycle =
+            reached.iter().filter(|other| reached_by_module.get(other).is_some_and(|r| r.contains(*module)));
         cycles.insert(cycle.map(|m| m.join("::")).collect());
     }
     cycles
@@ -127,16 +129,16 @@
 #[test]
 fn no_modules_import_each_other_in_a_cycle() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let mut counted = 0;
+    let mut module_count = 0;
     let mut found = BTreeSet::new();
     for folder in source_folders() {
         let mut all = BTreeMap::new();
         modules(&folder, &Module::new(), &mut all);
-        counted += all.len();
+        module_count += all.len();
         let name = folder.strip_prefix(root).expect("under the root").to_string_lossy().into_owned();
         found.extend(cycles(&uses(&all)).into_iter().map(|cycle| (name.clone(), cycle)));
     }
-    assert!(counted > 100, "{counted} modules read");
+    assert!(module_count > 100, "{module_count} modules read");
     assert!(found.is_empty(), "import cycles: {found:?}");
 }
 
