--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -34,13 +34,13 @@
     /// The settings of a new instance cannot be parsed.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A row arrived without a list.
-    #[error("row without a list")]
+    /// A row arrived while no endpoint list was being read.
+    #[error("row outside of an endpoint list")]
     RowWithoutList,
-    /// Another line arrived before all rows of a list.
-    #[error("unexpected message before the last row of a list")]
+    /// A line other than a row arrived before the last row of an endpoint list.
+    #[error("unexpected message before the last row of an endpoint list")]
     RowsMissing,
-    /// A batch has an earlier time than the one before.
+    /// The time of a batch is earlier than that of the previous batch.
     #[error("batch time is earlier than that of the previous batch")]
     ClockWentBack,
     /// The name of an instance is empty.
@@ -49,7 +49,7 @@
     /// The message name is unknown.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
-    /// A batch begins before the last one has ended.
+    /// A batch begins before the previous one has ended.
     #[error("batch begins within another batch")]
     BatchOpen,
     /// A line is outside of a batch.
--- a/crates/cluster/src/tiers.rs
+++ b/crates/cluster/src/tiers.rs
@@ -5,7 +5,7 @@
 //! lease ([`election`]); the representatives of a zone's sites elect the zone's representative, and those of a
 //! region's zones the region's. Representatives report the numbers of live gateways upwards and publish tables of
 //! them, which are sent down to every gateway. Traffic, memory and computation per gateway do not depend on the size
-//! of the fleet, except for the list of places. See `docs/design/membership-tiers.md`, T1 to T10.
+//! of the fleet, except for the [`Topology`]. See `docs/design/membership-tiers.md`, T1 to T10.
 mod candidacy;
 mod contacts;
 mod count;
@@ -107,6 +107,7 @@
     own_indices: [usize; TIERS],
     /// The failure detector of this gateway's site; its member numbers are indices within the site.
     detector: FailureDetector,
+    /// Whether this gateway receives nothing from any other member of its site.
     is_isolated: bool,
     is_leaving: bool,
     /// By tier, the election of the representative of this gateway's group.
@@ -125,7 +126,8 @@
     bytes_sent: u64,
 }
 
-/// The reports that the representative of a group sends.
+/// The last report that this gateway has sent as representative of its group, and the time of the next one unless the
+/// count or the term changes before.
 #[derive(Debug, Clone, Copy, Default)]
 struct OutgoingReport {
     version: Version,
--- a/crates/cluster/src/tiers/detection.rs
+++ b/crates/cluster/src/tiers/detection.rs
@@ -1,5 +1,6 @@
-//! The failure detector within the site. Member numbers are indices within the site. Its datagrams have kinds of their
-//! own, so that gateways without tiers do not process them as messages of a whole-fleet failure detector.
+//! The failure detector of this gateway's site. It identifies members by their indices within the site. Its messages
+//! have their own kinds, so that gateways without tiers, whose failure detector covers the whole fleet, do not process
+//! them.
 use super::topology::Tier;
 use super::{Output, TieredMembership};
 use crate::failure_detector::{Input as DetectorInput, Output as DetectorOutput};
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Passes an input to the failure detector, and translates its outputs.
     fn detect(&mut self, now: MonotonicTime, input: DetectorInput<'_>, outputs: &mut Vec<Output>) {
         let mut detector_outputs = Vec::new();
         self.detector.handle(now, input, &mut detector_outputs);
--- a/crates/cluster/src/tiers/topology.rs
+++ b/crates/cluster/src/tiers/topology.rs
@@ -1,12 +1,12 @@
-//! The tree of regions, zones, sites and gateways, built from the configured places and validated.
+//! The tree of regions, zones, sites and gateways, built from the configured sites and validated.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Greatest number of members of a site, sites of a zone, zones of a region, and regions: a table of this many groups
-/// fits into one datagram.
+/// Maximum number of members of a site, of sites of a zone, of zones of a region, and of regions: a table of this many
+/// groups fits into one datagram.
 pub const MAX_CHILDREN: usize = 56;
-/// Greatest number of gateways in a site, zone or region.
+/// Maximum number of gateways in a site, zone or region.
 pub const MAX_GROUP_SIZE: u16 = 0x7fff;
 /// Number of tiers in which a representative is elected.
 pub const TIERS: usize = 3;
@@ -63,7 +63,7 @@
     pub members: Vec<u16>,
 }
 
-/// Why the configured places are rejected. Each text begins with the key.
+/// Why the configured sites are rejected. Each text begins with the configuration key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TopologyError {
     /// A site has no members.
@@ -138,18 +138,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Group {
     name: String,
-    /// The number of its group in the tier above; 0 for a region.
+    /// The number of the group in the tier above that it belongs to; 0 for a region.
     parent: u16,
-    /// The numbers of its members, sites or zones.
+    /// The numbers of its children: members of a site, sites of a zone, or zones of a region.
     children: Vec<u16>,
     /// The number of its gateways.
     size: u16,
 }
 
-/// The places of all gateways. Its size grows with the fleet, like the list of addresses: about 6 bytes per gateway.
+/// The groups of all gateways. Its size grows with the fleet, as that of the list of addresses does: about 6 bytes per
+/// gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Topology {
-    /// The groups by tier; at most as many per tier as gateways, 65,535.
+    /// By tier, its groups; at most as many as there are gateways, 65,535.
     groups: [Vec<Group>; TIERS],
     /// The numbers of all regions.
     regions: Vec<u16>,
@@ -165,7 +166,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`TopologyError`], whose text names the key.
+    /// Returns a [`TopologyError`], whose text begins with the configuration key.
     pub fn new(places: &[SitePlace], members: usize) -> Result<Topology, TopologyError> {
         let mut topology =
             Topology { groups: Default::default(), regions: Vec::new(), site_of: vec![NO_SITE; members] };
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -59,9 +59,10 @@
     Stopped,
 }
 
-/// Schedule of position reports to upstream.
+/// When the next position report to upstream is due.
 #[derive(Debug, Default)]
 struct ReportState {
+    /// Whether a report is pending: positions may have changed, or a new upstream stream has begun.
     changed: bool,
     /// Earliest time of the next report.
     next_report_at: MonotonicTime,
--- a/crates/distribution/src/subscriber/link.rs
+++ b/crates/distribution/src/subscriber/link.rs
@@ -3,14 +3,14 @@
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// An event whose digest is used to compare histories.
+/// An event whose digest is used to compare the source's history with the subscriber's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReferenceEvent {
     pub number: EventNumber,
     pub digest: u64,
 }
 
-/// The event that a plain source has to resend first, and the deadline for it.
+/// The event that a plain source, which does not compare digests, has to resend first, and the deadline for it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Overlap {
     pub event: ReferenceEvent,
@@ -20,11 +20,11 @@
 /// A connection to the current source, from the dial on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Connection {
-    /// Number of the event after which events were requested.
+    /// The events after this number were requested from the source.
     pub after: EventNumber,
-    /// Time at which the connection is closed if no data arrives before.
+    /// Time at which the connection is closed unless data arrives before.
     pub silent_at: MonotonicTime,
-    /// Whether an event was received.
+    /// Whether an event was received on this connection.
     pub has_events: bool,
     /// Whether a comment was received, which means that all events of the source have been sent.
     pub caught_up: bool,
--- a/crates/distribution/tests/common/mod.rs
+++ b/crates/distribution/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Events for the tests, and a subscriber that reads what a relay sends.
+//! Events for the tests, a relay with a clock, and a subscriber that reads what a relay sends.
 #![allow(dead_code)]
 pub mod documents;
 
@@ -26,30 +26,32 @@
     Event::read(data).expect("an event of a test")
 }
 
-/// A purge of an object, issued `number` ms after the first.
+/// A purge of an object, issued `number` ms after the first purge.
 pub fn purge(number: EventNumber, object: u64) -> Event {
     let issued = ISSUED_FROM + number;
     read(&format!("{{\"no\":{number},\"recall\":{{\"item\":\"{object:016x}\",\"issued\":{issued}}}}}"))
 }
 
+/// A purge of a group, issued `number` ms after the first purge.
 pub fn group_purge(number: EventNumber, group: u64) -> Event {
     let issued = ISSUED_FROM + number;
     read(&format!("{{\"no\":{number},\"recall\":{{\"lot\":{group},\"issued\":{issued}}}}}"))
 }
 
-/// One store's entry; its site goes by its number.
+/// The entry of a store in an endpoint list; its number determines its site.
 pub fn store_json(store: u64, health: &str) -> String {
     let site = ["east", "west", "north"][store as usize % 3];
     placed_store_json(store, Some(site), "std", health)
 }
 
-/// The entry of a store that may be listed at any site, or at none, under the same host name.
+/// The entry of a store in an endpoint list, at any site or at none; its host name depends only on its number.
 pub fn placed_store_json(store: u64, site: Option<&str>, class: &str, health: &str) -> String {
     let site = site.map_or_else(String::new, |site| format!("\"site\":\"{site}\","));
     let dial = "10.1.0.9:4100";
     format!("{{\"host\":\"s-{store:08x}\",\"dial\":\"{dial}\",{site}\"class\":\"{class}\",\"health\":\"{health}\"}}")
 }
 
+/// An event with an endpoint list, or with changes of the list if it is not full.
 pub fn list(number: EventNumber, is_full: bool, entries: &[String]) -> Event {
     let hosts = entries.join(",");
     read(&format!(
@@ -67,19 +69,19 @@
     }
 }
 
-/// A moment of a test on a Unix clock that runs with the monotonic one.
+/// The Unix time at a moment of a test: the Unix clock of the tests shows the same time as the monotonic clock.
 pub fn unix_time(moment: MonotonicTime) -> UnixMicros {
     UnixMicros::from_micros(moment.as_micros())
 }
 
-/// What came over a stream, decoded.
+/// A decoded part of an event stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamItem {
     Event { number: EventNumber, data: String },
     Heartbeat { source_alive_ms: u64 },
 }
 
-/// Reads the text of a stream; what is not complete yet stays in `text`.
+/// Decodes the complete items of a stream and removes them from `text`; an incomplete item stays in `text`.
 pub fn parse(text: &mut String) -> Vec<StreamItem> {
     let mut received = Vec::new();
     while let Some(end) = text.find("\n\n") {
@@ -98,7 +100,7 @@
     StreamItem::Event { number, data: data.strip_prefix("data: ").expect("data").to_string() }
 }
 
-/// Decodes a gzip body that never ends.
+/// Decodes a gzip body without an end, chunk by chunk.
 pub struct GzipReader {
     header: Vec<u8>,
     inflate: Decompress,
@@ -135,24 +137,25 @@
     }
 }
 
-/// What a subscriber holds: the last time each object and group was purged, and its list of stores.
+/// The state that a subscriber derives from events: the last purge of each object and group, and the list of stores.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct View {
     pub cursor: EventNumber,
-    /// Digest of the last event that came with its text, and its number.
+    /// Number and digest of the last purge or list that came with its own text; `None` if that one followed a gap.
     pub verified: Option<(EventNumber, u64)>,
-    /// By object or group text: the number of the last purge applied.
+    /// By object or group, as JSON text: the number of the last purge applied.
     pub purged: BTreeMap<String, EventNumber>,
-    /// All copies from before this event are void.
+    /// All copies from before this event are invalid, since events before it were missed.
     pub floor: EventNumber,
     pub stores: BTreeMap<String, String>,
+    /// Number of events applied.
     pub applied: u64,
-    /// A planted fault: a store that a relay takes off because it has left the scope stays listed.
+    /// A planted fault: a store stays listed although a relay removes it because it has left the subscriber's scope.
     pub keeps_moved_stores: bool,
 }
 
 impl View {
-    /// Applies an event; one that it has already is skipped.
+    /// Applies an event; events up to the cursor are skipped.
     pub fn apply(&mut self, number: EventNumber, data: &str) {
         if number <= self.cursor {
             return;
@@ -183,7 +186,7 @@
         }
         for entry in list["hosts"].as_array().expect("hosts") {
             let host = entry["host"].as_str().expect("a host").to_string();
-            // What the source itself sends of a store says where it is dialled.
+            // An entry from the source itself has the address to dial; a removal without it is by a relay.
             let is_moved = entry["health"] == "removed" && entry.get("dial").is_none();
             if is_moved && self.keeps_moved_stores {
                 continue;
@@ -197,7 +200,7 @@
     }
 }
 
-/// A subscriber with its connection.
+/// A subscriber with the received part of its stream.
 pub struct Reader {
     pub id: SubscriberId,
     pub gzip: Option<GzipReader>,
@@ -213,7 +216,7 @@
         Reader { id, gzip, text: String::new(), view: View::default(), heartbeats: Vec::new(), bytes: 0 }
     }
 
-    /// Pulls one chunk; false if there was none.
+    /// Takes the next chunk from the relay and applies its events; false if there was none.
     pub fn pull(&mut self, relay: &mut Relay, now: MonotonicTime) -> bool {
         let Some(chunk) = relay.next_chunk(now, self.id) else { return false };
         self.decode(&chunk);
@@ -241,7 +244,7 @@
     }
 }
 
-/// A relay with its clock.
+/// A relay with the clock of a test.
 pub struct Driver {
     pub relay: Relay,
     pub now: MonotonicTime,
@@ -270,7 +273,7 @@
         out
     }
 
-    /// Makes the relay ready.
+    /// Passes a heartbeat of the present to the relay, which makes it ready.
     pub fn heartbeat(&mut self) -> Vec<Output> {
         let source_alive_at = unix_time(self.now);
         self.input(Input::Heartbeat { source_alive_at })
@@ -281,7 +284,7 @@
     }
 }
 
-/// An event as the source's log has it: a placeholder if a later one has replaced it.
+/// An event as the source's log has it: a placeholder if a later event has replaced it.
 pub fn compacted(source: &EventLog, event: &Event) -> Event {
     match source.get(event.number) {
         Some(LogEntry::Replaced) => read(&placeholder(event.number)),
@@ -289,8 +292,8 @@
     }
 }
 
-/// What a relay is sent next: so many events past its last one, as far as the source has them, and a heartbeat behind
-/// the source's last.
+/// The next inputs of a relay: up to `events` events after its last one, as far as the source has them, and a heartbeat
+/// if they include the source's last event or the relay already has it.
 pub fn next_inputs(
     driver: &Driver,
     events: u64,
@@ -306,7 +309,7 @@
     inputs
 }
 
-/// The source's snapshot, under the number before its last.
+/// A gap with the source's snapshot, which has the number before that of the source's last event.
 pub fn snapshot_before_last(source: &EventLog) -> Input {
     let number = source.last() - 1;
     let data = source.snapshot(number, |_| true).expect("a full list");
--- a/gateway/src/clock/wire/tests.rs
+++ b/gateway/src/clock/wire/tests.rs
@@ -1,3 +1,4 @@
+//! Reported Unix times, as seen by gateways whose own Unix clock is correct, fast or slow.
 use super::store_starts::MAX_STARTS;
 use super::*;
 use larchway::{duration_micros, Host};
@@ -6,7 +7,7 @@
 const HOUR: Duration = Duration::from_secs(3600);
 const NOW: MonotonicTime = MonotonicTime::from_micros(500_000 * duration_micros(HOUR));
 
-/// The Unix time `age` before `now`, on a correct clock.
+/// The time that a correct Unix clock showed at `age` before `now`.
 fn unix_before(now: MonotonicTime, age: Duration) -> UnixMicros {
     UnixMicros::from_micros((now - age).as_micros())
 }
@@ -17,6 +18,7 @@
     WireTimes { anchor: Anchor { monotonic: NOW, unix }, ..WireTimes::default() }
 }
 
+/// The times of a gateway whose own Unix clock is slow by this much.
 fn slow_clock(by: Duration) -> WireTimes {
     let unix = UnixMicros::from_micros((NOW - by).as_micros());
     WireTimes { anchor: Anchor { monotonic: NOW, unix }, ..WireTimes::default() }
@@ -27,7 +29,7 @@
     ListedEndpoint { endpoint: Endpoint { host, name: format!("s-{server}"), dial: None }, started }
 }
 
-/// The start of a store that the gateway assumes after a live event.
+/// Applies a live endpoint list with one store, and returns the start that the gateway assumes for the store.
 fn endpoint_start(
     times: &mut WireTimes,
     now: MonotonicTime,
@@ -41,6 +43,7 @@
     endpoints[0].host.started
 }
 
+/// Applies a live purge, and returns the age that the gateway assumes for it.
 fn purge_age(times: &mut WireTimes, now: MonotonicTime, issued: UnixMicros) -> Duration {
     let body = EventBody::Purge { object: Some(7), group: 0, issued };
     let Some(Change::Purge { age, .. }) = times.change(now, body, Arrival::Live) else { panic!("no purge") };
@@ -71,7 +74,7 @@
     assert_eq!(
         purge_age(&mut times, NOW, unix_before(NOW, Duration::from_millis(50))),
         Duration::ZERO,
-        "no later time was reported yet"
+        "no later time than that of the purge was reported"
     );
     let later = NOW + 10 * SECOND;
     assert_eq!(
@@ -85,8 +88,8 @@
     );
 }
 
-/// Guards against a clock that is wrong by an hour: a reported start must begin the slow start of the store at that
-/// time, and only once.
+/// Guards against a clock that is wrong by an hour: the slow start of a store must begin between the store's actual
+/// start and the report of it, and must not begin again when the same start is reported again.
 #[test]
 fn a_store_reported_as_started_warms_up_from_the_report_at_the_latest() {
     for mut times in [fast_clock(HOUR), slow_clock(HOUR)] {
@@ -95,7 +98,7 @@
         let start = unix_before(reported_at, 2 * SECOND);
         let started = endpoint_start(&mut times, reported_at, ListScope::Changes, listed(1, start));
         assert!((reported_at - 2 * SECOND..=reported_at).contains(&started), "{started:?}");
-        // The same start reported again, by the same source or by another one that rounds.
+        // The same start reported again, by the same source or by another one that rounds it differently.
         for again in [start, UnixMicros::from_micros(start.as_micros() + 999)] {
             let repeated =
                 endpoint_start(&mut times, reported_at + 30 * SECOND, ListScope::Changes, listed(1, again));
@@ -105,8 +108,8 @@
     }
 }
 
-/// Guards against a slow start long after the store's start: the configuration has old changes of the list after the
-/// list itself.
+/// Guards against a slow start long after the store's start: the configuration contains the complete list and then old
+/// changes of it, whose starts must not be taken for recent ones.
 #[test]
 fn a_start_known_from_the_configuration_does_not_count_as_live() {
     let mut times = fast_clock(Duration::ZERO);
@@ -161,7 +164,11 @@
     purge_age(&mut times, NOW, unix_before(NOW, Duration::ZERO));
     let copy = times.copy(NOW, unix_before(NOW, 10 * SECOND)).expect("its time is not in the future");
     assert_eq!(copy.issued_local, NOW - 10 * SECOND);
-    assert_eq!(copy.issued, NOW + HOUR - 10 * SECOND, "compared with purges as it was reported");
+    assert_eq!(
+        copy.issued,
+        NOW + HOUR - 10 * SECOND,
+        "the time that is compared with purges is not corrected"
+    );
     assert_eq!(times.copy(NOW, UnixMicros::default()), None);
 }
 
--- a/gateway/src/core/object_cache.rs
+++ b/gateway/src/core/object_cache.rs
@@ -16,7 +16,8 @@
 }
 
 impl Core {
-    /// The cached copy that answers a request, if there is one; never for writes and other uncacheable requests.
+    /// The cached copy that answers a request, if there is one; `None` for writes and other requests of
+    /// uncacheable classes.
     pub(super) fn lookup_cached(
         &mut self,
         now: MonotonicTime,
@@ -64,7 +65,7 @@
 
     /// For how long stores may still reply with copies issued before a purge.
     pub(super) fn purge_retention(&self) -> Duration {
-        // Attempts in flight were decided before the purge, and may return an older copy until they end.
+        // Attempts in flight result from decisions before the purge, and may return an older copy until they end.
         let longest_deadline = self.classes.slots().iter().map(|slot| slot.settings.deadline).max();
         self.purge_window * PURGE_WINDOWS + longest_deadline.unwrap_or_default()
     }
--- a/gateway/src/core/outcomes.rs
+++ b/gateway/src/core/outcomes.rs
@@ -1,4 +1,5 @@
-//! The ends of attempts: evidence of their stores' health, and the outcomes reported to the module.
+//! Ends attempts: records the evidence of their stores' health, and reports their outcomes to the module that routes
+//! requests.
 use super::attempts::Attempt;
 use super::messages::{AttemptResult, Command, LoadReport, ReplyHandle};
 use super::origin::FillResult;
@@ -10,7 +11,8 @@
 use larchway_operations::RequestEnd;
 use std::time::Duration;
 
-/// The evidence of a store's health that the end of an attempt gives; none if this side ended it.
+/// The evidence of a store's health that the end of an attempt gives; `None` if the gateway
+/// itself ended it.
 fn evidence_of(status: Status) -> Option<Evidence> {
     match status {
         Status::ConnectFailed => Some(Evidence::Refused),
@@ -33,7 +35,8 @@
         self.end_attempt_with_reply(now, key, AttemptResult::without_reply(status, note))
     }
 
-    /// Ends an attempt. If its reply is the final one of the request, returns where it goes.
+    /// Ends an attempt. If its reply is the final one of the request, returns the handle with which to send it to the
+    /// client.
     pub fn end_attempt_with_reply(
         &mut self,
         now: MonotonicTime,
@@ -80,7 +83,7 @@
         served
     }
 
-    /// Removes an attempt from the tables.
+    /// Removes an attempt from the tables and clears its deadline.
     fn remove_attempt(&mut self, key: SlotKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         self.unsent_attempts.remove(&key);
@@ -90,21 +93,23 @@
         Some(attempt)
     }
 
+    /// Collects the evidence that an attempt gives, if evidence is collected.
     fn record_evidence(&mut self, server: ServerId, status: Status) {
         if let (Some(collected), Some(evidence)) = (&mut self.evidence, evidence_of(status)) {
             collected.push(EndpointEvidence { server, evidence });
         }
     }
 
-    /// Records a load report of a store; `load` is in the order of the names in the settings.
+    /// Records a load report of a store; `load` has the values of the load fields in the order
+    /// in which the settings name them.
     pub fn record_load_report(&mut self, store: ServerId, load: &[f64]) {
         if let Some(value) = self.load_field.and_then(|field| load.get(field)) {
             self.load_reports.push(LoadReport { store, load: *value });
         }
     }
 
-    /// Withdraws the attempts of an answered request of which no byte is written, also in classes whose sent attempts
-    /// must not be cancelled: no new work begins for a request that has its reply.
+    /// Withdraws those attempts of an answered request of which no byte was written, also in classes whose sent
+    /// attempts must not be cancelled: no new work begins for a request that has its reply.
     pub(super) fn withdraw_unsent(&mut self, now: MonotonicTime, request: SlotKey) {
         let Some(open_request) = self.requests.get(request) else { return };
         let is_unsent =
@@ -115,8 +120,8 @@
         }
     }
 
-    /// Ends an attempt from this side and lets the module decide again. An attempt of which no byte was written has
-    /// certainly not run.
+    /// Ends an attempt by the gateway's own decision and lets the module decide again. An attempt of which no byte was
+    /// written has certainly not run, so its status is `NeverSent`, except after a time-out.
     pub(super) fn withdraw(&mut self, now: MonotonicTime, key: SlotKey, status: Status) {
         let Some(attempt) = self.attempts.get(key) else { return };
         let never_sent = attempt.first_byte_at.is_none() && status != Status::Timeout;
@@ -125,7 +130,7 @@
         self.end_attempt(now, key, if never_sent { Status::NeverSent } else { status }, Note::None);
     }
 
-    /// Ends an attempt that the module cancels. Its outcome is queued behind the actions that are being
+    /// Ends an attempt that the module cancels. Its outcome is queued, and handled after the actions that are being
     /// executed.
     pub(super) fn cancel(&mut self, now: MonotonicTime, key: SlotKey) {
         let Some(attempt) = self.remove_attempt(key) else { return };
--- a/gateway/src/net/ensemble.rs
+++ b/gateway/src/net/ensemble.rs
@@ -1,4 +1,4 @@
-//! Membership in the ensemble: the connection to it, and the effects of the membership protocol.
+//! Membership of the gateway: its connection to the ensemble, and the effects of the membership protocol.
 use super::errors::CloseReason;
 use super::Gateway;
 use crate::connection::{ConnectFailure, Role};
@@ -42,7 +42,7 @@
         self.apply_membership_effects(now, effects);
     }
 
-    /// Passes to membership what the gateway's own attempts show of the stores' health.
+    /// Passes to membership the evidence of the stores' health that the gateway's own attempts gave.
     pub(super) fn report_evidence(&mut self, now: MonotonicTime) {
         if let (Some(evidence), Some(membership)) = (&mut self.core.evidence, &mut self.membership) {
             if !evidence.is_empty() {
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Connects to a server of the ensemble; `since`: when this was first tried. A local shortage is retried until the
-    /// connect time-out: attributed to the server, it would make membership leave a healthy server and back off from
-    /// it.
+    /// Connects to a server of the ensemble; `since` is the time of the first try. If this machine lacks a resource,
+    /// the connect is retried until the connect time-out has passed since then: if the shortage were attributed to the
+    /// server, membership would leave a healthy server and back off from it.
     fn connect_to_ensemble(&mut self, now: MonotonicTime, since: MonotonicTime, address: SocketAddr) {
         self.postponed_ensemble_connect = None;
         let timeout = self.wire_settings.connect_timeout.max(MIN_CONNECT_TIMEOUT);
--- a/gateway/src/signed/session/tests.rs
+++ b/gateway/src/signed/session/tests.rs
@@ -1,3 +1,5 @@
+//! Sessions of clients on the front for signed links: pipelining, replies to requests that are not admitted, issued
+//! links, rejections, and `100 Continue`.
 use super::*;
 use crate::core::ServedReply;
 use crate::signed::link::{self, Grant};
@@ -39,14 +41,14 @@
     }
 }
 
-/// A request for an object with a valid link.
+/// A GET request with a validly signed link to `PATH`; `headers` are further header lines.
 fn signed_request(headers: &str) -> String {
     let grant = Grant { method: "GET", path: PATH, expires: FAR_FUTURE, not_before: None };
     let link = link::issue(&keys(), None, &grant).expect("issues");
     format!("GET {link} HTTP/1.1\r\nHost: x\r\n{headers}\r\n")
 }
 
-/// Takes the response out of the output, as text.
+/// Takes everything out of the output, as text.
 fn response(output: &mut Vec<u8>) -> String {
     String::from_utf8(std::mem::take(output)).expect("text")
 }
--- a/gateway/src/signed/token/tests.rs
+++ b/gateway/src/signed/token/tests.rs
@@ -1,3 +1,4 @@
+//! Issued and forged URI Signing tokens, and what their claims restrict.
 use super::*;
 use crate::signed::tests::keys;
 
@@ -7,6 +8,7 @@
     Parties { issuers: vec!["desk".into()], audience: Some("larchway".into()) }
 }
 
+/// A token with any header and claims, signed with the first key.
 fn sign_token(head: &str, claims: &str) -> String {
     let signed = format!("{}.{}", encode_base64url(head.as_bytes()), encode_base64url(claims.as_bytes()));
     let keys = keys();
@@ -14,6 +16,7 @@
     format!("{signed}.{signature}")
 }
 
+/// Checks a token for `URI` at a Unix time in seconds.
 fn check_token(token: &str, second: u64) -> Result<(), Denied> {
     check(&keys(), &parties(), token, URI, second)
 }
@@ -35,7 +38,7 @@
     assert_eq!(
         check_token(&sign_token("{\"alg\":\"HS256\"}", claims), 1500),
         Ok(()),
-        "any key may fit without a kid"
+        "without a kid, the signature may be of any key"
     );
     for head in [
         "{\"alg\":\"none\"}",
@@ -75,7 +78,7 @@
     assert_eq!(
         check_token(&sign_token(head, "{\"exp\":9999}"), 1500),
         Err(Denied::Malformed),
-        "no container"
+        "no URI container"
     );
     assert_eq!(
         check_token(&sign_token(head, "{\"cdniuc\":\"regex:history-files\"}"), 1500),
--- a/src/logic/subset/tests.rs
+++ b/src/logic/subset/tests.rs
@@ -1,4 +1,5 @@
-//! Compares the subset with its definition, and checks how subsets are spread over a location.
+//! Compares a router's subset with its definition, and checks how evenly the subsets of many routers cover
+//! the caches of a location.
 use super::*;
 use std::collections::BTreeSet;
 
@@ -27,7 +28,8 @@
     ranks.iter().take(SUBSET_SIZE).map(|rank| rank.server).collect()
 }
 
-/// Invariant 9 of docs/design/large-fleet.md.
+/// Invariant 9 of docs/design/large-fleet.md: a location with at most as many caches as a subset holds is
+/// used as a whole.
 #[test]
 fn a_location_that_a_subset_can_hold_is_used_as_a_whole() {
     for caches in 0..=SUBSET_SIZE as u64 {
@@ -49,7 +51,8 @@
         for step in 0..2_000 {
             let id = cache(mix(router << 32 ^ step) % 80);
             let before = members_of(&subset);
-            // Adds twice as often as it removes, so that the location is mostly larger than a subset.
+            // Caches are added twice as often as removed, so that the location is mostly larger than a
+            // subset.
             if mix(step).is_multiple_of(3) {
                 subset.remove(router, id);
                 up.remove(&id);
@@ -68,7 +71,8 @@
     }
 }
 
-/// Invariant 12: a cache that leaves and returns, member or not, changes nothing.
+/// Invariant 12: when a cache leaves and returns, the subset is the same as before, whether the cache is a
+/// member or not.
 #[test]
 fn a_cache_that_leaves_and_returns_leaves_the_subset_as_it_was() {
     let mut subset = subset_of(3, (0..CACHES).map(cache));
@@ -92,7 +96,8 @@
                 subsets_of[number as usize] += u32::from(subset.contains(&cache(number)));
             }
         }
-        // Five standard deviations of independent draws for each router.
+        // Five standard deviations of a cache's number of subsets, if each router drew its subset
+        // independently.
         let mean = ROUTERS as f64 * SUBSET_SIZE as f64 / CACHES as f64;
         let max_deviation = 5.0 * mean.sqrt();
         for (number, count) in subsets_of.iter().enumerate() {
@@ -104,7 +109,8 @@
     }
 }
 
-/// Invariant 10: a cache's share of the work follows its weight within a subset, not the number of subsets.
+/// Invariant 10: a cache's weight determines its share of the work within each subset, not the number of
+/// subsets that it is in.
 #[test]
 fn a_cache_of_a_greater_weight_is_in_no_more_subsets() {
     for router in 0..50 {
--- a/tests/imports.rs
+++ b/tests/imports.rs
@@ -24,7 +24,8 @@
     folders
 }
 
-/// Collects the modules below a folder with their texts without comments.
+/// Adds the modules below a folder to `found`, each with its text without comments; `parent` is the module of the
+/// folder itself. Files named `tests.rs` are skipped.
 fn modules(folder: &Path, parent: &Module, found: &mut BTreeMap<Module, String>) {
     for entry in std::fs::read_dir(folder).expect("a source folder").flatten() {
         let path = entry.path();
@@ -44,7 +45,8 @@
     }
 }
 
-/// The paths in a text that begin with `crate`, `self` or `super`; paths with braces are expanded.
+/// The paths in a text that begin with `crate`, `self` or `super`; a path with
+/// braces counts as one path for each name within them, at any depth.
 fn paths(text: &str) -> Vec<Vec<String>> {
     let is_name = |c: char| c.is_alphanumeric() || c == '_';
     let mut found = Vec::new();
@@ -69,7 +71,7 @@
     found
 }
 
-/// The module that a path in `module` refers to.
+/// The innermost module of `all` that a path written in `module` passes through.
 fn target(module: &Module, path: &[String], all: &BTreeMap<Module, String>) -> Module {
     let mut full = module.clone();
     for name in path {
@@ -86,7 +88,7 @@
     full
 }
 
-/// Determines which sibling modules use each other.
+/// Collects the siblings that each module or one of its submodules uses.
 fn uses(all: &BTreeMap<Module, String>) -> Uses {
     let mut uses = Uses::new();
     for (module, text) in all {
@@ -113,7 +115,7 @@
     reached
 }
 
-/// The cycles among modules, each as the names of its modules.
+/// The import cycles, each as the names of all modules that use each other directly or indirectly.
 fn cycles(uses: &Uses) -> BTreeSet<BTreeSet<String>> {
     let reached_by_module: BTreeMap<&Module, BTreeSet<Module>> =
         uses.keys().map(|m| (m, reached(uses, m))).collect();
