--- a/crates/cluster/src/tiers/detection.rs
+++ b/crates/cluster/src/tiers/detection.rs
@@ -1,5 +1,6 @@
-//! The failure detector within the site. Member numbers are indices within the site. Its datagrams have kinds of their
-//! own, so that gateways without tiers do not process them as messages of a whole-fleet failure detector.
+//! The failure detector of this gateway's site. It identifies members by their indices within the site. Its messages
+//! have their own kinds, so that gateways without tiers, whose failure detector covers the whole fleet, do not process
+//! them.
 use super::topology::Tier;
 use super::{Output, TieredMembership};
 use crate::failure_detector::{Input as DetectorInput, Output as DetectorOutput};
@@ -60,15 +61,16 @@
         }
     }
 
+    /// Passes an input to the failure detector, and translates its outputs.
     fn detect(&mut self, now: MonotonicTime, input: DetectorInput<'_>, outputs: &mut Vec<Output>) {
-        let mut detected = Vec::new();
-        self.detector.handle(now, input, &mut detected);
-        for output in detected {
-            self.apply_output(output, outputs);
+        let mut detector_outputs = Vec::new();
+        self.detector.handle(now, input, &mut detector_outputs);
+        for output in detector_outputs {
+            self.apply_detector_output(output, outputs);
         }
     }
 
-    fn apply_output(&mut self, output: DetectorOutput, outputs: &mut Vec<Output>) {
+    fn apply_detector_output(&mut self, output: DetectorOutput, outputs: &mut Vec<Output>) {
         match output {
             DetectorOutput::Send { to, kind, body } => {
                 if let Some(to) = self.member_at(to) {
@@ -80,7 +82,7 @@
                     outputs.push(Output::StateChanged { member, state });
                 }
             }
-            DetectorOutput::Paused(span) => outputs.push(Output::Paused(span)),
+            DetectorOutput::Paused(duration) => outputs.push(Output::Paused(duration)),
             DetectorOutput::Isolated => {
                 self.is_isolated = true;
                 outputs.push(Output::Isolated);
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -59,9 +59,10 @@
     Stopped,
 }
 
-/// Schedule of position reports to upstream.
+/// When the next position report to upstream is due.
 #[derive(Debug, Default)]
 struct ReportState {
+    /// Whether a report is pending: positions may have changed, or a new upstream stream has begun.
     changed: bool,
     /// Earliest time of the next report.
     next_report_at: MonotonicTime,
@@ -70,7 +71,7 @@
 impl Relay {
     /// Creates a relay with an empty log.
     pub fn new(settings: RelaySettings) -> Relay {
-        let ring = RingLimits {
+        let ring_limits = RingLimits {
             batch_interval: settings.batch_interval,
             batch_bytes: settings.batch_bytes,
             max_batches: settings.max_batches,
@@ -78,7 +79,7 @@
         };
         Relay {
             log: EventLog::new(settings.log),
-            ring: BatchRing::new(ring),
+            ring: BatchRing::new(ring_limits),
             pages: PageCache::new(settings.page_events, settings.cache_bytes),
             encoder: Encoder::new(settings.gzip_level, &settings.scopes),
             subscribers: Subscribers::default(),
--- a/gateway/src/net/ensemble.rs
+++ b/gateway/src/net/ensemble.rs
@@ -1,4 +1,4 @@
-//! Membership in the ensemble: the connection to it, and the effects of the membership protocol.
+//! Membership of the gateway: its connection to the ensemble, and the effects of the membership protocol.
 use super::errors::CloseReason;
 use super::Gateway;
 use crate::connection::{ConnectFailure, Role};
@@ -38,11 +38,11 @@
     /// Handles the membership deadline.
     pub(super) fn check_membership(&mut self, now: MonotonicTime) {
         self.membership_deadline = None;
-        let effects = self.membership.as_mut().map(|m| m.tick(now)).unwrap_or_default();
+        let effects = self.membership.as_mut().map(|membership| membership.tick(now)).unwrap_or_default();
         self.apply_membership_effects(now, effects);
     }
 
-    /// Passes to membership what the gateway's own attempts show of the stores' health.
+    /// Passes to membership the evidence of the stores' health that the gateway's own attempts gave.
     pub(super) fn report_evidence(&mut self, now: MonotonicTime) {
         if let (Some(evidence), Some(membership)) = (&mut self.core.evidence, &mut self.membership) {
             if !evidence.is_empty() {
@@ -54,14 +54,14 @@
 
     /// Retries the connect to the ensemble that was postponed because of a local shortage, if its time has come.
     pub(super) fn retry_ensemble_connect(&mut self, now: MonotonicTime) {
-        if let Some(waiting) = take_due(&mut self.postponed_ensemble_connect, now) {
-            self.connect_to_ensemble(now, waiting.since, waiting.work);
+        if let Some(postponed) = take_due(&mut self.postponed_ensemble_connect, now) {
+            self.connect_to_ensemble(now, postponed.since, postponed.work);
         }
     }
 
-    /// Connects to a server of the ensemble; `since`: when this was first tried. A local shortage is retried until the
-    /// connect time-out: attributed to the server, it would make membership leave a healthy server and back off from
-    /// it.
+    /// Connects to a server of the ensemble; `since` is the time of the first try. If this machine lacks a resource,
+    /// the connect is retried until the connect time-out has passed since then: if the shortage were attributed to the
+    /// server, membership would leave a healthy server and back off from it.
     fn connect_to_ensemble(&mut self, now: MonotonicTime, since: MonotonicTime, address: SocketAddr) {
         self.postponed_ensemble_connect = None;
         let timeout = self.wire_settings.connect_timeout.max(MIN_CONNECT_TIMEOUT);
@@ -74,8 +74,10 @@
             }
             Err(_) => {
                 self.ensemble_connection = None;
-                let effects =
-                    self.membership.as_mut().map(|m| m.handle_connection_lost(now, "no connection"));
+                let effects = self
+                    .membership
+                    .as_mut()
+                    .map(|membership| membership.handle_connection_lost(now, "no connection"));
                 self.apply_membership_effects(now, effects.unwrap_or_default());
             }
         }
@@ -90,9 +92,10 @@
             match effect {
                 Effect::Connect(address) => self.connect_to_ensemble(now, now, address),
                 Effect::Write(bytes) => {
-                    if let Some(conn) = self.ensemble_connection.and_then(|key| self.connections.get_mut(key))
+                    if let Some(connection) =
+                        self.ensemble_connection.and_then(|key| self.connections.get_mut(key))
                     {
-                        conn.output.bytes.extend_from_slice(&bytes);
+                        connection.output.bytes.extend_from_slice(&bytes);
                     }
                 }
                 Effect::Close(reason) => {
