--- a/crates/unix-time/src/lib.rs
+++ b/crates/unix-time/src/lib.rs
@@ -60,9 +60,9 @@
 
     /// A Unix time on the monotonic clock. What lies before its beginning is [`Anchor::EARLIEST`].
     pub fn to_monotonic(&self, time: UnixMicros) -> MonotonicTime {
-        let since = i128::from(time.0) - i128::from(self.unix.0);
-        let at = i128::from(self.monotonic.as_micros()) + since;
-        match u64::try_from(at.max(0)) {
+        let offset_micros = i128::from(time.0) - i128::from(self.unix.0);
+        let converted_micros = i128::from(self.monotonic.as_micros()) + offset_micros;
+        match u64::try_from(converted_micros.max(0)) {
             Ok(micros) => MonotonicTime::from_micros(micros).max(Self::EARLIEST),
             Err(_) => MonotonicTime::MAX,
         }
@@ -86,8 +86,8 @@
 
     /// A monotonic time on the Unix clock. What lies before the epoch is the epoch.
     pub fn to_unix(&self, time: MonotonicTime) -> UnixMicros {
-        let since = i128::from(time.as_micros()) - i128::from(self.monotonic.as_micros());
-        let at = i128::from(self.unix.0) + since;
-        UnixMicros(u64::try_from(at.max(0)).unwrap_or(u64::MAX))
+        let offset_micros = i128::from(time.as_micros()) - i128::from(self.monotonic.as_micros());
+        let converted_micros = i128::from(self.unix.0) + offset_micros;
+        UnixMicros(u64::try_from(converted_micros.max(0)).unwrap_or(u64::MAX))
     }
 }
--- a/crates/unix-time/tests/anchor.rs
+++ b/crates/unix-time/tests/anchor.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_time_keeps_its_distance_from_the_anchor_on_both_clocks() {
+fn conversion_keeps_the_distance_from_the_anchor_on_both_clocks() {
     let anchor = anchor(10 * HOUR, 500_000 * HOUR);
     for (monotonic, unix) in
         [(10 * HOUR, 500_000 * HOUR), (9 * HOUR, 499_999 * HOUR), (12 * HOUR, 500_002 * HOUR)]
@@ -20,20 +20,20 @@
 }
 
 #[test]
-fn what_one_of_the_clocks_cannot_show_is_its_bound() {
-    let early = anchor(HOUR, 500_000 * HOUR);
-    let earliest = early.to_monotonic(UnixMicros::from_micros(1));
+fn times_that_the_other_clock_cannot_represent_are_clamped() {
+    let early_anchor = anchor(HOUR, 500_000 * HOUR);
+    let earliest = early_anchor.to_monotonic(UnixMicros::from_micros(1));
     assert_eq!(earliest, MonotonicTime::from_micros(1), "0 would be no time at all");
     assert_eq!(anchor(9 * HOUR, HOUR).to_unix(MonotonicTime::from_micros(HOUR)), UnixMicros::default());
     assert_eq!(anchor(u64::MAX, 0).to_monotonic(UnixMicros::from_micros(5)), MonotonicTime::MAX);
 }
 
 #[test]
-fn milliseconds_of_a_wire_keep_their_fractions() {
+fn from_millis_keeps_fractions_and_maps_invalid_values_to_unset() {
     let time = UnixMicros::from_millis(1_764_576_000_123.25);
     assert_eq!((time.as_micros(), time.as_millis()), (1_764_576_000_123_250, 1_764_576_000_123));
     assert_eq!(time.as_secs(), 1_764_576_000);
-    for odd in [-5.0, f64::NAN] {
-        assert!(UnixMicros::from_millis(odd).is_unset());
+    for invalid_millis in [-5.0, f64::NAN] {
+        assert!(UnixMicros::from_millis(invalid_millis).is_unset());
     }
 }
