--- a/crates/operations/src/classes.rs
+++ b/crates/operations/src/classes.rs
@@ -79,8 +79,8 @@
     }
 
     fn former_classes(&self) -> Vec<FormerClass> {
-        let numbered = self.slots.iter().enumerate().filter(|(_, slot)| slot.current);
-        numbered.map(|(slot, class)| FormerClass { slot, name: class.name.clone() }).collect()
+        let current_slots = self.slots.iter().enumerate().filter(|(_, slot)| slot.current);
+        current_slots.map(|(slot, class)| FormerClass { slot, name: class.name.clone() }).collect()
     }
 
     /// Lets unchanged classes keep their slots. Returns the others.
@@ -103,9 +103,9 @@
     fn assign_slot(&mut self, class: NamedClass<T>, former: &[FormerClass]) -> Option<SlotChange> {
         let NamedClass { name, settings } = class;
         let previous = former.iter().find(|class| class.name == name).map(|class| class.slot);
-        let own = previous.filter(|slot| self.slots[*slot].is_free());
-        let chosen = own.or_else(|| self.free_slot(former));
-        let current = self.put(chosen, ClassSlot { name, settings, current: true, in_flight: 0 });
+        let reusable = previous.filter(|slot| self.slots[*slot].is_free());
+        let chosen = reusable.or_else(|| self.free_slot(former));
+        let current = self.fill_slot(chosen, ClassSlot { name, settings, current: true, in_flight: 0 });
         match previous {
             Some(previous) if previous == current => None,
             Some(previous) => Some(SlotChange::Changed { previous, current }),
@@ -115,12 +115,12 @@
 
     /// A free slot that no former class had: the evidence of those may still be needed.
     fn free_slot(&self, former: &[FormerClass]) -> Option<usize> {
-        let had_class = |slot: usize| former.iter().any(|class| class.slot == slot);
-        (0..self.slots.len()).find(|&slot| self.slots[slot].is_free() && !had_class(slot))
+        let held_former_class = |slot: usize| former.iter().any(|class| class.slot == slot);
+        (0..self.slots.len()).find(|&slot| self.slots[slot].is_free() && !held_former_class(slot))
     }
 
     /// Puts a class into the chosen slot, else into a new one. Returns the number of the slot.
-    fn put(&mut self, chosen: Option<usize>, slot: ClassSlot<T>) -> usize {
+    fn fill_slot(&mut self, chosen: Option<usize>, slot: ClassSlot<T>) -> usize {
         if let Some(number) = chosen {
             self.slots[number] = slot;
             return number;
--- a/crates/operations/src/classes/tests.rs
+++ b/crates/operations/src/classes/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_request_under_way_keeps_its_class_and_evidence_follows_the_name() {
+fn requests_in_flight_keep_their_class_and_evidence_follows_the_class_name() {
     let mut table = ClassTable::default();
     assert_eq!(table.replace(classes(&[("a", 1), ("b", 2), ("c", 3)])), [0, 1, 2].map(SlotChange::New));
     table.acquire(1);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn renamed_for_weeks_it_grows_no_longer_than_what_is_in_use() {
+fn repeated_renames_do_not_grow_the_table() {
     let mut table = ClassTable::default();
     for n in 0..1000 {
         table.replace(classes(&[("a", n), ("b", 1)]));
--- a/crates/operations/src/manual_ejection/mod.rs
+++ b/crates/operations/src/manual_ejection/mod.rs
@@ -88,7 +88,7 @@
         for entry in &entries {
             self.drained_by_peer.remove(&entry.host.server);
         }
-        let effective = entries.iter().map(|entry| self.effective(entry)).collect();
+        let effective = entries.iter().map(|entry| self.effective_entry(entry)).collect();
         for id in self.listed.update(scope, entries) {
             self.drained_by_peer.remove(&id);
         }
@@ -136,8 +136,8 @@
     fn apply_peer_view(&mut self, now: MonotonicTime, endpoints: &[PeerEndpoint], outputs: &mut Vec<Output>) {
         let usable = endpoints.iter().filter(|endpoint| endpoint.usable);
         let usable_names: BTreeSet<&str> = usable.map(|endpoint| endpoint.name.as_str()).collect();
-        let up = self.listed.iter().filter(|entry| entry.host.state == State::Up);
-        let drained = up.filter(|entry| !usable_names.contains(entry.name.as_str()));
+        let up_entries = self.listed.iter().filter(|entry| entry.host.state == State::Up);
+        let drained = up_entries.filter(|entry| !usable_names.contains(entry.name.as_str()));
         let drained: Vec<ServerId> = drained.map(|entry| entry.host.server).collect();
         self.drained_by_peer.extend(drained.iter().map(|id| (*id, now + PEER_VIEW_LIFETIME)));
         self.report_changed(&drained, outputs);
@@ -151,13 +151,13 @@
     }
 
     /// A list entry with manual ejections applied: an ejected store is draining, a restored one has started anew.
-    fn effective(&self, entry: &Endpoint) -> Endpoint {
+    fn effective_entry(&self, entry: &Endpoint) -> Endpoint {
         let id = entry.host.server;
         if entry.host.state == State::Up && self.drained_by_peer.contains_key(&id) {
             return draining(entry);
         }
         match self.records.get(id, &entry.name) {
-            Some(record) if !record.ejected => started_at_least(entry, record.recorded_at),
+            Some(record) if !record.ejected => started_no_earlier_than(entry, record.recorded_at),
             Some(_) if entry.host.state == State::Up => draining(entry),
             _ => entry.clone(),
         }
@@ -165,7 +165,7 @@
 
     fn report_changed(&self, ids: &[ServerId], outputs: &mut Vec<Output>) {
         let listed = ids.iter().filter_map(|id| self.listed.get(*id));
-        let entries: Vec<Endpoint> = listed.map(|entry| self.effective(entry)).collect();
+        let entries: Vec<Endpoint> = listed.map(|entry| self.effective_entry(entry)).collect();
         if !entries.is_empty() {
             outputs.push(Output::EndpointList { scope: ListScope::Changes, entries });
         }
@@ -179,7 +179,7 @@
 
 /// The entry with a start no earlier than `time`. Operators restart a store while it is ejected: its slow start and its
 /// health begin anew.
-fn started_at_least(entry: &Endpoint, time: MonotonicTime) -> Endpoint {
+fn started_no_earlier_than(entry: &Endpoint, time: MonotonicTime) -> Endpoint {
     let host = Host { started: entry.host.started.max(time), ..entry.host.clone() };
     Endpoint { host, ..entry.clone() }
 }
--- a/crates/operations/src/manual_ejection/record.rs
+++ b/crates/operations/src/manual_ejection/record.rs
@@ -35,26 +35,26 @@
 
 /// A record, and when this process learned of it.
 #[derive(Debug, Clone)]
-struct KnownRecord {
+struct ReceivedRecord {
     record: EjectionRecord,
-    known_at: MonotonicTime,
+    received_at: MonotonicTime,
 }
 
 /// The newest record of each store that is ejected or was restored lately; [`MAX_EJECTION_RECORDS`] at most.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EjectionRecords {
-    by_server: BTreeMap<ServerId, KnownRecord>,
+    by_server: BTreeMap<ServerId, ReceivedRecord>,
 }
 
 impl EjectionRecords {
     /// Takes in a record that is newer than the known one of its store. Returns the store's id if it did.
     pub(super) fn insert_if_newer(&mut self, now: MonotonicTime, record: EjectionRecord) -> Option<ServerId> {
         let id = endpoint_id(&record.store);
-        let known = self.by_server.get(&id);
-        if known.is_some_and(|known| !record.replaces(&known.record)) {
+        let received = self.by_server.get(&id);
+        if received.is_some_and(|received| !record.replaces(&received.record)) {
             return None;
         }
-        self.by_server.insert(id, KnownRecord { record, known_at: now });
+        self.by_server.insert(id, ReceivedRecord { record, received_at: now });
         self.remove_expired(now);
         self.remove_excess();
         Some(id)
@@ -62,36 +62,39 @@
 
     /// The record of a store. Another store with the same number has none.
     pub(super) fn get(&self, id: ServerId, store: &str) -> Option<&EjectionRecord> {
-        self.by_server.get(&id).map(|known| &known.record).filter(|record| record.store == store)
+        self.by_server.get(&id).map(|received| &received.record).filter(|record| record.store == store)
     }
 
     /// The time for a new record under this number: later than the one before it, even if the clock stands still.
     pub(super) fn next_record_time(&self, now: MonotonicTime, id: ServerId) -> MonotonicTime {
-        self.by_server.get(&id).map_or(now, |known| now.max(known.record.recorded_at + CLOCK_RESOLUTION))
+        self.by_server
+            .get(&id)
+            .map_or(now, |received| now.max(received.record.recorded_at + CLOCK_RESOLUTION))
     }
 
     /// All records, by server number.
     pub(super) fn iter(&self) -> impl Iterator<Item = &EjectionRecord> {
-        self.by_server.values().map(|known| &known.record)
+        self.by_server.values().map(|received| &received.record)
     }
 
     /// The ejected stores, listed or not.
     pub(super) fn ejected(&self) -> impl Iterator<Item = ServerId> + '_ {
-        self.by_server.iter().filter(|(_, known)| known.record.ejected).map(|(&id, _)| id)
+        self.by_server.iter().filter(|(_, received)| received.record.ejected).map(|(&id, _)| id)
     }
 
     /// Danger: by the time in a file, which a wall clock that is ahead makes old, the record of a store that was just
     /// restored would be gone, and the store would count as warm.
     fn remove_expired(&mut self, now: MonotonicTime) {
-        self.by_server
-            .retain(|_, known| known.record.ejected || now < known.known_at + RESTORED_RECORD_LIFETIME);
+        self.by_server.retain(|_, received| {
+            received.record.ejected || now < received.received_at + RESTORED_RECORD_LIFETIME
+        });
     }
 
     /// Removes the oldest records of restored stores beyond the bound; those of ejected stores stay.
     fn remove_excess(&mut self) {
         while self.by_server.len() > MAX_EJECTION_RECORDS {
-            let restored = self.by_server.iter().filter(|(_, known)| !known.record.ejected);
-            let oldest = restored.min_by_key(|(_, known)| known.record.recorded_at).map(|(&id, _)| id);
+            let restored = self.by_server.iter().filter(|(_, received)| !received.record.ejected);
+            let oldest = restored.min_by_key(|(_, received)| received.record.recorded_at).map(|(&id, _)| id);
             let Some(oldest) = oldest else { break };
             self.by_server.remove(&oldest);
         }
--- a/crates/operations/src/request_counters.rs
+++ b/crates/operations/src/request_counters.rs
@@ -85,10 +85,10 @@
     }
 
     fn class_mut(&mut self, name: &str) -> &mut ClassCounts {
-        let known = self.classes.contains_key(name);
-        let name = if known || self.classes.len() < MAX_CLASSES { name } else { OTHER_CLASSES };
+        let is_counted = self.classes.contains_key(name);
+        let name = if is_counted || self.classes.len() < MAX_CLASSES { name } else { OTHER_CLASSES };
         // The lookup comes first: a request should not cost an allocation for its class's name.
-        if !known && !self.classes.contains_key(name) {
+        if !is_counted && !self.classes.contains_key(name) {
             self.classes.insert(name.to_string(), ClassCounts::default());
         }
         self.classes.get_mut(name).expect("it was inserted above")
--- a/crates/operations/src/request_counters/statsd.rs
+++ b/crates/operations/src/request_counters/statsd.rs
@@ -8,23 +8,23 @@
         let mut report = String::new();
         for CountedClass { name, counts } in self.classes() {
             let class = escape_name(name);
-            write_figure(&mut report, &format!("passed.{class}"), counts.served, COUNTER);
-            write_figure(&mut report, &format!("dropped.{class}"), counts.rejected, COUNTER);
-            write_figure(&mut report, &format!("bad_gateway.{class}"), counts.failed, COUNTER);
+            write_metric(&mut report, &format!("passed.{class}"), counts.served, COUNTER);
+            write_metric(&mut report, &format!("dropped.{class}"), counts.rejected, COUNTER);
+            write_metric(&mut report, &format!("bad_gateway.{class}"), counts.failed, COUNTER);
         }
-        write_figure(&mut report, "upstream_tries", self.attempts, COUNTER);
-        write_figure(&mut report, "in_progress", self.in_progress(), GAUGE);
-        write_figure(&mut report, "known_stores", gauges.known_stores as u64, GAUGE);
-        write_figure(&mut report, "skipped_stores", gauges.skipped_stores as u64, GAUGE);
-        write_figure(&mut report, "loads", self.reloads, COUNTER);
-        write_figure(&mut report, "load_errors", self.reload_errors, COUNTER);
-        write_figure(&mut report, "unsaved_files", gauges.unsaved_files as u64, GAUGE);
-        write_figure(&mut report, "warming_stores", gauges.warming_stores as u64, GAUGE);
+        write_metric(&mut report, "upstream_tries", self.attempts, COUNTER);
+        write_metric(&mut report, "in_progress", self.in_progress(), GAUGE);
+        write_metric(&mut report, "known_stores", gauges.known_stores as u64, GAUGE);
+        write_metric(&mut report, "skipped_stores", gauges.skipped_stores as u64, GAUGE);
+        write_metric(&mut report, "loads", self.reloads, COUNTER);
+        write_metric(&mut report, "load_errors", self.reload_errors, COUNTER);
+        write_metric(&mut report, "unsaved_files", gauges.unsaved_files as u64, GAUGE);
+        write_metric(&mut report, "warming_stores", gauges.warming_stores as u64, GAUGE);
         let rejections = gauges.rejections;
-        write_figure(&mut report, "given_up.attempts", rejections.attempts_exhausted, COUNTER);
-        write_figure(&mut report, "given_up.no_store", rejections.no_server, COUNTER);
-        write_figure(&mut report, "given_up.slow_start", rejections.slow_start, COUNTER);
-        write_figure(&mut report, "given_up.not_in_time", rejections.not_in_time, COUNTER);
+        write_metric(&mut report, "given_up.attempts", rejections.attempts_exhausted, COUNTER);
+        write_metric(&mut report, "given_up.no_store", rejections.no_server, COUNTER);
+        write_metric(&mut report, "given_up.slow_start", rejections.slow_start, COUNTER);
+        write_metric(&mut report, "given_up.not_in_time", rejections.not_in_time, COUNTER);
         report
     }
 }
@@ -34,27 +34,27 @@
 /// StatsD's type of a present value.
 const GAUGE: char = 'g';
 
-fn write_figure(report: &mut String, name: &str, value: u64, kind: char) {
+fn write_metric(report: &mut String, name: &str, value: u64, kind: char) {
     let _ = writeln!(report, "svc.{name}:{value}|{kind}");
 }
 
 /// A class's name for use in a line: what would end the name or the line is written as `%` and two hexadecimal
 /// digits, as in RFC 3986; letters beyond ASCII stay.
 fn escape_name(name: &str) -> String {
-    let mut out = String::new();
+    let mut escaped = String::new();
     for c in name.chars() {
         match c {
             ':' | '|' | '@' | '#' | '%' | '.' => {
-                let _ = write!(out, "%{:02X}", u32::from(c));
+                let _ = write!(escaped, "%{:02X}", u32::from(c));
             }
             c if c.is_whitespace() || c.is_control() => {
                 let mut bytes = [0; 4];
                 for byte in c.encode_utf8(&mut bytes).bytes() {
-                    let _ = write!(out, "%{byte:02X}");
+                    let _ = write!(escaped, "%{byte:02X}");
                 }
             }
-            c => out.push(c),
+            c => escaped.push(c),
         }
     }
-    out
+    escaped
 }
--- a/crates/operations/src/request_counters/tests.rs
+++ b/crates/operations/src/request_counters/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_name_never_breaks_a_line() {
+fn class_names_cannot_break_a_statsd_line() {
     let mut counters = RequestCounters::default();
     counters.declare(["a:b|c\n.d e", "plain-1"].into_iter());
     counters.count_received();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn names_beyond_the_bound_are_counted_together() {
+fn class_names_beyond_the_limit_share_one_counter() {
     let mut counters = RequestCounters::default();
     for n in 0..2 * MAX_CLASSES {
         counters.count_received();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_report_keeps_the_names_order_and_types_of_its_figures() {
+fn the_report_keeps_the_names_order_and_types_of_its_metrics() {
     let mut counters = RequestCounters::default();
     for (class, end) in [("a", RequestEnd::Served), ("a", RequestEnd::Rejected), ("b", RequestEnd::Failed)] {
         counters.count_received();
--- a/crates/operations/tests/handover.rs
+++ b/crates/operations/tests/handover.rs
@@ -18,33 +18,33 @@
 }
 
 #[test]
-fn a_file_torn_at_any_byte_or_with_any_byte_changed_is_refused_and_is_never_a_ban() {
-    let whole = Frame::EjectionRecords(records()).encode();
-    assert!(matches!(Frame::decode(&whole), Ok(Frame::EjectionRecords(read)) if read == records()));
-    for cut in 0..whole.len() {
-        assert!(Frame::decode(&whole[..cut]).is_err(), "cut at {cut}");
-        for wrong in [0u8, 0xff, whole[cut] ^ 1] {
-            let mut spoilt = whole.clone();
-            if spoilt[cut] != wrong {
-                spoilt[cut] = wrong;
-                assert!(Frame::decode(&spoilt).is_err(), "byte {cut} is {wrong}");
+fn truncated_or_corrupted_ejection_frames_are_rejected() {
+    let complete = Frame::EjectionRecords(records()).encode();
+    assert!(matches!(Frame::decode(&complete), Ok(Frame::EjectionRecords(decoded)) if decoded == records()));
+    for offset in 0..complete.len() {
+        assert!(Frame::decode(&complete[..offset]).is_err(), "cut at {offset}");
+        for replacement in [0u8, 0xff, complete[offset] ^ 1] {
+            let mut corrupted = complete.clone();
+            if corrupted[offset] != replacement {
+                corrupted[offset] = replacement;
+                assert!(Frame::decode(&corrupted).is_err(), "byte {offset} is {replacement}");
             }
         }
     }
-    assert_eq!(Frame::decode(&[&whole[..], b"x"].concat()).err(), Some(FrameError::Truncated));
-    for other in [0u16, 2, 900] {
-        let mut changed = whole.clone();
-        changed[8..10].copy_from_slice(&other.to_be_bytes());
-        assert_eq!(Frame::decode(&changed).err(), Some(FrameError::UnsupportedVersion(other)));
+    assert_eq!(Frame::decode(&[&complete[..], b"x"].concat()).err(), Some(FrameError::Truncated));
+    for version in [0u16, 2, 900] {
+        let mut changed = complete.clone();
+        changed[8..10].copy_from_slice(&version.to_be_bytes());
+        assert_eq!(Frame::decode(&changed).err(), Some(FrameError::UnsupportedVersion(version)));
     }
-    let mut long = whole.clone();
-    long[10..14].copy_from_slice(&(MAX_FRAME_LENGTH as u32 + 1).to_be_bytes());
-    assert_eq!(Frame::decode_first(&long).err(), Some(FrameError::TooLong(MAX_FRAME_LENGTH + 1)));
+    let mut oversized = complete.clone();
+    oversized[10..14].copy_from_slice(&(MAX_FRAME_LENGTH as u32 + 1).to_be_bytes());
+    assert_eq!(Frame::decode_first(&oversized).err(), Some(FrameError::TooLong(MAX_FRAME_LENGTH + 1)));
     assert_eq!(Frame::decode(b"{\"down\":[\"s-1\"]}").err(), Some(FrameError::Foreign));
 }
 
 #[test]
-fn frames_come_off_a_stream_in_order_whatever_its_pieces() {
+fn frames_are_decoded_in_order_however_the_stream_is_split() {
     let frames = [
         Frame::Hello { name: "n1".into() },
         Frame::Status(ProcessStatus { serving: true, stopping: false }),
@@ -52,22 +52,22 @@
         Frame::EjectionRecords(records()),
     ];
     let bytes: Vec<u8> = frames.iter().flat_map(Frame::encode).collect();
-    for size in [1, 7, 1000] {
-        let (mut input, mut read) = (Vec::new(), Vec::new());
-        for piece in bytes.chunks(size) {
-            input.extend_from_slice(piece);
+    for chunk_size in [1, 7, 1000] {
+        let (mut input, mut decoded) = (Vec::new(), Vec::new());
+        for chunk in bytes.chunks(chunk_size) {
+            input.extend_from_slice(chunk);
             while let Some(DecodedFrame { frame, length }) = Frame::decode_first(&input).expect("no fault") {
                 input.drain(..length);
-                read.push(format!("{frame:?}"));
+                decoded.push(format!("{frame:?}"));
             }
         }
-        let wanted: Vec<String> = frames.iter().map(|f| format!("{f:?}")).collect();
-        assert_eq!((read, input.len()), (wanted, 0));
+        let expected: Vec<String> = frames.iter().map(|frame| format!("{frame:?}")).collect();
+        assert_eq!((decoded, input.len()), (expected, 0));
     }
 }
 
 #[test]
-fn limits_are_shared_by_those_that_are_there_and_only_one_that_serves_is_a_successor() {
+fn processes_share_limits_and_only_a_serving_one_is_a_successor() {
     let mut group = ProcessGroup::default();
     assert_eq!((group.process_count(), group.has_successor()), (1, false));
     group.joined(0);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_comes_late_is_answered_before_the_platform_kills() {
+fn the_final_reply_deadline_precedes_the_kill_by_the_platform() {
     let stopped_at = MonotonicTime::from_micros(10_000_000);
     let millis = Duration::from_millis;
     assert_eq!(final_reply_deadline(stopped_at, millis(3320)), stopped_at + millis(3600));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_bytes_of_each_frame_stay_as_other_processes_and_files_have_them() {
+fn the_encoding_of_each_frame_is_stable() {
     let state = HandoverState {
         classes: vec!["files".into()],
         stores: vec![PeerEndpoint { name: "s-1".into(), usable: true }],
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn each_reason_to_refuse_bytes_keeps_its_text() {
+fn the_text_of_each_frame_error_is_stable() {
     let texts = [
         FrameError::Foreign,
         FrameError::UnsupportedVersion(2),
@@ -126,7 +126,7 @@
         FrameError::TooLong(9),
         FrameError::Corrupt,
     ]
-    .map(|reason| reason.to_string());
+    .map(|error| error.to_string());
     let expected = [
         "it is nothing that larchway wrote",
         "it is of version 2, and 1 is read here",
--- a/crates/operations/tests/recorded_frames.rs
+++ b/crates/operations/tests/recorded_frames.rs
@@ -12,10 +12,10 @@
 
 /// When operators called, µs.
 const FIRST_EJECTED_AT: u64 = 1_796_218_740_928_416;
-const SECOND_RETURNED_AT: u64 = 1_796_218_740_929_401;
+const SECOND_RESTORED_AT: u64 = 1_796_218_740_929_401;
 const SECOND_EJECTED_AT: u64 = 1_796_218_741_230_865;
 /// When the process wrote down what it had learned, µs.
-const LEARNED_AT: u64 = 1_796_218_741_230_218;
+const SNAPSHOT_TAKEN_AT: u64 = 1_796_218_741_230_218;
 
 fn record(store: &str, ejected: bool, recorded_at: u64) -> EjectionRecord {
     EjectionRecord { store: store.to_string(), ejected, recorded_at: MonotonicTime::from_micros(recorded_at) }
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_frames_of_an_earlier_release_are_read_completely() {
+fn frames_of_an_earlier_release_are_decoded_completely() {
     let frames = frames(HANDOVER);
     let [Frame::Status(status), Frame::EjectionRecords(first), Frame::State(state), Frame::EjectionRecords(second)] =
         &frames[..]
@@ -41,27 +41,27 @@
         panic!("{frames:?}");
     };
     assert_eq!(*status, ProcessStatus { serving: true, stopping: false });
-    let returned = record("s-a2", false, SECOND_RETURNED_AT);
-    assert_eq!(*first, [record("s-a1", true, FIRST_EJECTED_AT), returned]);
+    let restored = record("s-a2", false, SECOND_RESTORED_AT);
+    assert_eq!(*first, [record("s-a1", true, FIRST_EJECTED_AT), restored]);
     assert_eq!(*second, [record("s-a1", true, FIRST_EJECTED_AT), record("s-a2", true, SECOND_EJECTED_AT)]);
     let HandoverState { classes, learned, stores } = &**state;
     assert_eq!(*classes, ["history-files", "bid-status", "bid-submit"]);
     let usable = |name: &str| PeerEndpoint { name: name.to_string(), usable: true };
     assert_eq!(*stores, ["s-a1", "s-a2", "s-b1", "s-c1"].map(usable));
-    assert_eq!(learned.taken_at().as_micros(), LEARNED_AT);
+    assert_eq!(learned.taken_at().as_micros(), SNAPSHOT_TAKEN_AT);
 }
 
 #[test]
-fn what_was_learned_is_written_as_an_earlier_release_wrote_it() {
-    let written: Vec<u8> = frames(HANDOVER).iter().flat_map(Frame::encode).collect();
-    assert_eq!(written, HANDOVER);
+fn handover_frames_encode_to_the_bytes_of_an_earlier_release() {
+    let encoded: Vec<u8> = frames(HANDOVER).iter().flat_map(Frame::encode).collect();
+    assert_eq!(encoded, HANDOVER);
 }
 
 #[test]
-fn the_operators_calls_that_an_earlier_release_stored_are_read_and_written_the_same() {
-    let read = Frame::decode(EJECTIONS).expect("a frame of version 1");
-    let Frame::EjectionRecords(records) = &read else { panic!("{read:?}") };
-    let returned = record("s-a2", false, SECOND_RETURNED_AT);
-    assert_eq!(*records, [record("s-a1", true, FIRST_EJECTED_AT), returned]);
-    assert_eq!(read.encode(), EJECTIONS);
+fn stored_ejection_records_of_an_earlier_release_are_decoded_and_encoded_unchanged() {
+    let decoded = Frame::decode(EJECTIONS).expect("a frame of version 1");
+    let Frame::EjectionRecords(records) = &decoded else { panic!("{decoded:?}") };
+    let restored = record("s-a2", false, SECOND_RESTORED_AT);
+    assert_eq!(*records, [record("s-a1", true, FIRST_EJECTED_AT), restored]);
+    assert_eq!(decoded.encode(), EJECTIONS);
 }
