--- a/crates/object-cache/src/cache.rs
+++ b/crates/object-cache/src/cache.rs
@@ -166,7 +166,7 @@
         retention: Duration,
     ) {
         self.purges.record(now, target, issued, now + retention);
-        for key in self.entries.keys_of(target) {
+        for key in self.entries.keys_for_purge(target) {
             if self.entries.get(key).is_some_and(|object| object.issued <= issued) {
                 self.entries.remove(key);
                 self.counts.purged += 1;
--- a/crates/object-cache/src/link_budget.rs
+++ b/crates/object-cache/src/link_budget.rs
@@ -58,8 +58,8 @@
     /// Admits a transfer if it neither waits too long for others nor ends too late for its client.
     pub(crate) fn admit(&mut self, now: MonotonicTime, transfer: Transfer) -> bool {
         let cost = transfer.cost();
-        let time_alone = duration(cost, self.rates.per_transfer);
-        let time_on_link = duration(cost, self.rates.total);
+        let time_alone = transfer_time(cost, self.rates.per_transfer);
+        let time_on_link = transfer_time(cost, self.rates.total);
         let link_free_at = self.free_at.max(now) + time_on_link;
         let done_at = link_free_at.max(now + time_alone);
         // Beyond the wait the cache would be slower than the stores that it is meant to spare.
@@ -73,7 +73,7 @@
 }
 
 /// How long so many bytes take at a rate in bytes per second; 0 stands for no limit.
-fn duration(bytes: f64, rate: f64) -> Duration {
+fn transfer_time(bytes: f64, rate: f64) -> Duration {
     if rate > 0.0 {
         Duration::from_micros((bytes / rate * MICROS_PER_SECOND) as u64)
     } else {
--- a/crates/object-cache/src/purge_feed.rs
+++ b/crates/object-cache/src/purge_feed.rs
@@ -16,7 +16,7 @@
 
 /// The connection to the feed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum State {
+enum FeedState {
     /// No feed is configured: nothing is ever purged.
     NotConfigured,
     /// Something was received, last at this time.
@@ -28,21 +28,23 @@
 /// The feed of purges as the cache sees it.
 #[derive(Debug)]
 pub(crate) struct PurgeFeed {
-    state: State,
+    state: FeedState,
     timeout: Duration,
 }
 
 impl PurgeFeed {
     /// A feed that is configured but not connected yet.
     pub(crate) fn new() -> Self {
-        PurgeFeed { state: State::Disconnected, timeout: DEFAULT_TIMEOUT }
+        PurgeFeed { state: FeedState::Disconnected, timeout: DEFAULT_TIMEOUT }
     }
 
     /// Sets where purges come from. A feed that is new counts as disconnected.
     pub(crate) fn set_source(&mut self, source: PurgeSource) {
         match source {
-            PurgeSource::None => self.state = State::NotConfigured,
-            PurgeSource::Feed if self.state == State::NotConfigured => self.state = State::Disconnected,
+            PurgeSource::None => self.state = FeedState::NotConfigured,
+            PurgeSource::Feed if self.state == FeedState::NotConfigured => {
+                self.state = FeedState::Disconnected;
+            }
             PurgeSource::Feed => {}
         }
     }
@@ -54,20 +56,20 @@
 
     /// Records that something was received.
     pub(crate) fn record_activity(&mut self, now: MonotonicTime) {
-        self.state = State::ActiveAt(now);
+        self.state = FeedState::ActiveAt(now);
     }
 
     /// Records that the connection was lost.
     pub(crate) fn record_disconnect(&mut self) {
-        self.state = State::Disconnected;
+        self.state = FeedState::Disconnected;
     }
 
     /// Whether all purges up to now can be assumed to be known.
     pub(crate) fn is_current(&self, now: MonotonicTime) -> bool {
         match self.state {
-            State::NotConfigured => true,
-            State::ActiveAt(at) => now <= at + self.timeout,
-            State::Disconnected => false,
+            FeedState::NotConfigured => true,
+            FeedState::ActiveAt(last_received) => now <= last_received + self.timeout,
+            FeedState::Disconnected => false,
         }
     }
 }
--- a/crates/object-cache/src/segmented_lru.rs
+++ b/crates/object-cache/src/segmented_lru.rs
@@ -118,7 +118,7 @@
     }
 
     /// The keys that a purge concerns.
-    pub(crate) fn keys_of(&self, target: PurgeTarget) -> Vec<CacheKey> {
+    pub(crate) fn keys_for_purge(&self, target: PurgeTarget) -> Vec<CacheKey> {
         match target {
             PurgeTarget::Object(object) => {
                 let range = CacheKey::first_of(object)..=CacheKey::last_of(object);
--- a/crates/object-cache/tests/histories.rs
+++ b/crates/object-cache/tests/histories.rs
@@ -146,10 +146,10 @@
         let Some(hit) = self.cache.lookup(self.now, key, lookup) else { return Ok(()) };
         let issued = hit.object.issued;
         let serial = u64::from_le_bytes(hit.object.bytes[..8].try_into().expect("eight bytes"));
-        let origin = self.inserted.iter().find(|inserted| inserted.serial == serial);
-        let origin = origin.expect("it was inserted");
-        prop_assert_eq!(origin.key, key, "invariant 1: another object's bytes");
-        prop_assert_eq!(origin.issued, issued);
+        let matching = self.inserted.iter().find(|inserted| inserted.serial == serial);
+        let matching = matching.expect("it was inserted");
+        prop_assert_eq!(matching.key, key, "invariant 1: another object's bytes");
+        prop_assert_eq!(matching.issued, issued);
         let purged = self.purges.iter().any(|purge| purge.concerns(object, issued));
         prop_assert!(!purged, "invariant 2: issued before a purge");
         let fresh = time_to_live.is_zero() || self.now <= issued + time_to_live;
