--- a/crates/unix-time/tests/anchor.rs
+++ b/crates/unix-time/tests/anchor.rs
@@ -1,4 +1,4 @@
-//! Times on the two clocks, by one moment that is known on both.
+//! Conversion of times between the monotonic and the Unix clock, and from milliseconds.
 use larchway::MonotonicTime;
 use larchway_unix_time::{Anchor, UnixMicros};
 
@@ -23,7 +23,7 @@
 fn times_that_the_other_clock_cannot_represent_are_clamped() {
     let early_anchor = anchor(HOUR, 500_000 * HOUR);
     let earliest = early_anchor.to_monotonic(UnixMicros::from_micros(1));
-    assert_eq!(earliest, MonotonicTime::from_micros(1), "0 would be no time at all");
+    assert_eq!(earliest, MonotonicTime::from_micros(1), "0 would stand for an unknown start");
     assert_eq!(anchor(9 * HOUR, HOUR).to_unix(MonotonicTime::from_micros(HOUR)), UnixMicros::default());
     assert_eq!(anchor(u64::MAX, 0).to_monotonic(UnixMicros::from_micros(5)), MonotonicTime::MAX);
 }
