--- a/crates/operations/src/classes.rs
+++ b/crates/operations/src/classes.rs
@@ -1,7 +1,7 @@
-//! Request classes in numbered slots. Settings may change while requests are in flight, and each request has its class
-//! to its end: a slot is given to another class only once no request uses it.
+//! Request classes in numbered slots. Settings may change while requests are in flight, and a request keeps its class
+//! until it ends: a slot is reused for another class only when no request uses it.
 
-/// A class by its name.
+/// The name and settings of a class.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NamedClass<T> {
     /// The name of the class.
@@ -18,12 +18,12 @@
     /// Its settings.
     pub settings: T,
     current: bool,
-    /// Requests in flight that use it.
+    /// Number of requests in flight that use the slot.
     in_flight: usize,
 }
 
 impl<T> ClassSlot<T> {
-    /// Whether new requests get it: its class is in force.
+    /// Whether the class is in force, so that new requests use this slot.
     pub fn is_current(&self) -> bool {
         self.current
     }
@@ -33,27 +33,29 @@
     }
 }
 
-/// A slot whose class is another than before, and which learned evidence it begins with.
+/// A slot that has received a class, and the learned evidence that it starts with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotChange {
-    /// The slot has a new class: evidence begins anew.
+    /// The slot has a new class, which starts without evidence.
     New(usize),
-    /// The class has changed and moved to another slot: it begins with the evidence of the previous one.
+    /// The settings of the class have changed and the class has moved to another slot. It starts with the evidence of
+    /// the previous slot.
     Changed {
-        /// The slot of the class with its former settings.
+        /// The slot of the class with its previous settings.
         previous: usize,
         /// The slot of the class with its new settings.
         current: usize,
     },
 }
 
-/// The slot and name of a class in force before a replacement.
+/// The slot and name of a class that was in force before a replacement.
 struct FormerClass {
     slot: usize,
     name: String,
 }
 
-/// The classes in force and those that requests in flight use. It is as long as the most classes in use at once.
+/// The classes in force and those that requests in flight use. The table is as long as the largest number of slots in
+/// use at once.
 #[derive(Debug, Clone)]
 pub struct ClassTable<T> {
     slots: Vec<ClassSlot<T>>,
@@ -66,14 +68,14 @@
 }
 
 impl<T: Clone + PartialEq> ClassTable<T> {
-    /// Replaces the classes in force. A class with the same settings has its slot as before; one with other settings
-    /// gets another if requests in flight use its slot.
+    /// Replaces the classes in force. A class with unchanged settings keeps its slot; one with changed settings gets
+    /// another slot if requests in flight use its present one.
     pub fn replace(&mut self, classes: Vec<NamedClass<T>>) -> Vec<SlotChange> {
         let former = self.former_classes();
         for slot in &mut self.slots {
             slot.current = false;
         }
-        // Unchanged classes come first: none of their slots may be taken for free.
+        // Unchanged classes are placed first, so that their slots do not count as free.
         let changed = self.keep_unchanged(classes, &former);
         changed.into_iter().filter_map(|class| self.assign_slot(class, &former)).collect()
     }
@@ -83,7 +85,7 @@
         current_slots.map(|(slot, class)| FormerClass { slot, name: class.name.clone() }).collect()
     }
 
-    /// Lets unchanged classes keep their slots. Returns the others.
+    /// Keeps unchanged classes in their slots. Returns the other classes.
     fn keep_unchanged(&mut self, classes: Vec<NamedClass<T>>, former: &[FormerClass]) -> Vec<NamedClass<T>> {
         let mut changed = Vec::new();
         for class in classes {
@@ -99,7 +101,7 @@
         changed
     }
 
-    /// Puts a class into a slot; none is returned if it stays where its evidence is.
+    /// Assigns a class to a slot. Returns none if the class stays in its slot and so keeps its evidence.
     fn assign_slot(&mut self, class: NamedClass<T>, former: &[FormerClass]) -> Option<SlotChange> {
         let NamedClass { name, settings } = class;
         let previous = former.iter().find(|class| class.name == name).map(|class| class.slot);
@@ -113,13 +115,13 @@
         }
     }
 
-    /// A free slot that no former class had: the evidence of those may still be needed.
+    /// A free slot that held no former class: the evidence of former classes may still be needed.
     fn free_slot(&self, former: &[FormerClass]) -> Option<usize> {
         let held_former_class = |slot: usize| former.iter().any(|class| class.slot == slot);
         (0..self.slots.len()).find(|&slot| self.slots[slot].is_free() && !held_former_class(slot))
     }
 
-    /// Puts a class into the chosen slot, else into a new one. Returns the number of the slot.
+    /// Puts a class into the chosen slot, or into a new slot if none is chosen. Returns the number of the slot.
     fn fill_slot(&mut self, chosen: Option<usize>, slot: ClassSlot<T>) -> usize {
         if let Some(number) = chosen {
             self.slots[number] = slot;
@@ -129,12 +131,12 @@
         self.slots.len() - 1
     }
 
-    /// The slot that a new request of this class gets.
+    /// The slot for new requests of this class; none if no class of this name is in force.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.slots.iter().position(|slot| slot.current && slot.name == name)
     }
 
-    /// A slot by its number, also one whose class is no longer in force.
+    /// A slot by its number, even if its class is no longer in force.
     pub fn get(&self, slot: usize) -> Option<&ClassSlot<T>> {
         self.slots.get(slot)
     }
@@ -149,14 +151,14 @@
         self.slots.iter().filter(|slot| slot.current)
     }
 
-    /// A request begins to use a slot.
+    /// Records that a request starts to use a slot.
     pub fn acquire(&mut self, slot: usize) {
         if let Some(slot) = self.slots.get_mut(slot) {
             slot.in_flight += 1;
         }
     }
 
-    /// A request that used a slot has ended.
+    /// Records that a request that used a slot has ended.
     pub fn release(&mut self, slot: usize) {
         if let Some(slot) = self.slots.get_mut(slot) {
             slot.in_flight -= 1;
--- a/crates/operations/src/classes/tests.rs
+++ b/crates/operations/src/classes/tests.rs
@@ -9,7 +9,7 @@
     let mut table = ClassTable::default();
     assert_eq!(table.replace(classes(&[("a", 1), ("b", 2), ("c", 3)])), [0, 1, 2].map(SlotChange::New));
     table.acquire(1);
-    // b changes while one request holds it, a goes, c moves, d is new.
+    // Class b changes while a request uses it, a is removed, c changes position in the list, d is new.
     let changes = table.replace(classes(&[("c", 3), ("b", 9), ("d", 4)]));
     assert_eq!(changes, [SlotChange::Changed { previous: 1, current: 3 }, SlotChange::New(4)]);
     assert_eq!(
@@ -19,15 +19,15 @@
     assert_eq!(
         table.get(1).map(|slot| (slot.name.as_str(), slot.settings)),
         Some(("b", 2)),
-        "the one under way"
+        "the class of the request in flight"
     );
     table.release(1);
-    // Its slot and that of a are free now.
+    // The slot of the request and the former slot of a are free now.
     assert_eq!(
         table.replace(classes(&[("c", 3), ("b", 9), ("d", 4), ("e", 5), ("f", 6)])),
         [0, 1].map(SlotChange::New)
     );
-    // One that changes while nothing holds it stays where its evidence is.
+    // A class that changes while no request uses it keeps its slot and so its evidence.
     assert_eq!(table.replace(classes(&[("c", 7), ("b", 9), ("d", 4), ("e", 5), ("f", 6)])), []);
     assert_eq!(table.find("c"), Some(2));
 }
--- a/crates/operations/src/handover.rs
+++ b/crates/operations/src/handover.rs
@@ -1,82 +1,82 @@
-//! Frames that two processes of one gateway exchange during an upgrade, with a version and a checksum. Truncated,
-//! foreign or corrupt bytes and those of another version are rejected, and so is the frame that holds them.
+//! Frames that two processes of one gateway exchange during an upgrade, with a version and a checksum. A frame that is
+//! truncated, corrupt, of another format or of another version is rejected as a whole.
 use crate::manual_ejection::{EjectionRecord, PeerEndpoint};
 use larchway::{Learned, ServerId};
 use larchway_endpoints::checksummed::{ChecksummedFormat, HeaderError, HEADER_LENGTH};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Rises with each change of a frame's form. Frames of another version are rejected: a field that only one side knows
-/// would be decoded as something else.
+/// Version of the frame encoding, increased with each change of it. Frames of another version are rejected: a field
+/// that only one side knows would be decoded as something else.
 pub const VERSION: u16 = 1;
 const FORMAT: ChecksummedFormat = ChecksummedFormat { magic: b"larchops", version: VERSION };
-/// Most bytes of a frame's body: 10,000 objects with their records take about 1 MB.
+/// Maximum length of a frame's body, in bytes. 10,000 objects with their records take about 1 MB.
 pub const MAX_FRAME_LENGTH: usize = 8 << 20;
 
-/// What a process of a gateway hands over to the next one.
+/// The state that a process of a gateway hands over to its successor.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct HandoverState {
     /// Names of the classes, in the order of the learned sending times.
     pub classes: Vec<String>,
-    /// What the decision module has learned.
+    /// The learned state of the decision module.
     pub learned: Learned,
-    /// The listed stores; one that is missing has been delisted.
+    /// The stores in the endpoint list; a store that is missing here has been delisted.
     pub stores: Vec<PeerEndpoint>,
 }
 
-/// Whether a process accepts clients. The order of the fields is the encoding in frames.
+/// The status of a process during an upgrade. The order of the fields is the encoding in frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ProcessStatus {
-    /// Whether it accepts clients.
+    /// Whether the process accepts clients.
     pub serving: bool,
-    /// Whether it has received the signal to stop.
+    /// Whether the process has received the signal to stop.
     pub stopping: bool,
 }
 
-/// The work that was sent to a store. The order of the fields is the encoding in frames.
+/// The amount of work that was sent to a store. The order of the fields is the encoding in frames.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct StoreWork {
     /// The store.
     pub store: ServerId,
-    /// The time, in microseconds, that the store needs for it.
+    /// The time that the store needs for the work, in microseconds.
     pub work_micros: f64,
 }
 
 /// A message between two processes of one gateway. The order of the variants is their encoding.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Frame {
-    /// A process that starts asks for the state of the other one.
+    /// Sent by a starting process to request the state of the other one.
     Hello {
         /// The gateway's name.
         name: String,
     },
     /// The reply to [`Frame::Hello`].
     State(Box<HandoverState>),
-    /// The operators' last requests for stores.
+    /// The newest eject or restore request of operators for each store.
     EjectionRecords(Vec<EjectionRecord>),
-    /// What was sent to stores in slow start since the last such frame: both processes share one budget.
+    /// The work sent to stores in slow start since the last such frame. Both processes share one slow-start budget.
     SlowStartWork(Vec<StoreWork>),
     /// The sender's status.
     Status(ProcessStatus),
 }
 
-/// Why bytes are no frame.
+/// Why bytes are rejected as a frame.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// They do not begin as frames do.
-    #[error("it is nothing that larchway wrote")]
+    /// The bytes do not start with the magic number of frames.
+    #[error("it was not written by larchway")]
     Foreign,
-    /// They are of another version.
+    /// The frame has another version than [`VERSION`].
     #[error("it is of version {0}, and {VERSION} is read here")]
     UnsupportedVersion(u16),
-    /// They end within the frame, or go on after it.
-    #[error("it is torn")]
+    /// The bytes end within the frame or continue after it.
+    #[error("it is truncated or has trailing bytes")]
     Truncated,
     /// The body is longer than [`MAX_FRAME_LENGTH`].
-    #[error("it has {0} bytes, and {MAX_FRAME_LENGTH} are read at most")]
+    #[error("its body has {0} bytes, and the maximum is {MAX_FRAME_LENGTH}")]
     TooLong(usize),
-    /// The checksum does not match, or the body is no frame.
-    #[error("its checksum does not fit")]
+    /// The checksum does not match, or the body cannot be decoded.
+    #[error("it is corrupt: its checksum does not match, or its body cannot be decoded")]
     Corrupt,
 }
 
@@ -89,12 +89,12 @@
     }
 }
 
-/// A frame decoded off the front of a stream.
+/// A frame decoded from the start of a stream.
 #[derive(Debug, Clone)]
 pub struct DecodedFrame {
     /// The frame.
     pub frame: Frame,
-    /// Its length in bytes.
+    /// The encoded length of the frame with its header, in bytes.
     pub length: usize,
 }
 
@@ -104,7 +104,7 @@
         FORMAT.encode(self)
     }
 
-    /// Decodes the frame at the front of the input; none while it is incomplete.
+    /// Decodes the frame at the start of the input. Returns none while the frame is incomplete.
     pub fn decode_first(input: &[u8]) -> Result<Option<DecodedFrame>, FrameError> {
         let Some(header) = FORMAT.read_header(input)? else { return Ok(None) };
         if header.length > MAX_FRAME_LENGTH {
@@ -116,7 +116,7 @@
         Ok(Some(DecodedFrame { frame, length }))
     }
 
-    /// Decodes bytes that hold one frame and nothing else.
+    /// Decodes bytes that hold exactly one frame.
     pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
         match Frame::decode_first(bytes)? {
             Some(decoded) if decoded.length == bytes.len() => Ok(decoded.frame),
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -1,5 +1,6 @@
-//! Day-to-day operation of a gateway, without I/O: the clock is an argument, and effects are returned as data.
-//! `docs/design/operations.md` numbers the invariants.
+//! Operation of a gateway: manual ejections, request classes, counters, and the handover between processes during an
+//! upgrade. Without I/O: the time is an argument, and effects are returned as data. Invariant numbers refer to
+//! `docs/design/operations.md`.
 pub mod classes;
 pub mod handover;
 pub mod manual_ejection;
--- a/crates/operations/src/manual_ejection/listed_endpoints.rs
+++ b/crates/operations/src/manual_ejection/listed_endpoints.rs
@@ -1,21 +1,21 @@
-//! The endpoint list as it arrived, and the stores that have left it.
+//! The endpoint list as received, without manual ejections, and the stores that were removed from it.
 use larchway::{ServerId, State};
 use larchway_endpoints::{Endpoint, ListScope};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most ids of delisted stores that are remembered; the oldest is forgotten first.
+/// Maximum number of delisted stores whose ids are remembered; the oldest is dropped first.
 const MAX_DELISTED_IDS: usize = 4096;
 
-/// The endpoint list, and the ids that were once in it.
+/// The endpoint list, and the ids of delisted stores.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ListedEndpoints {
     by_server: BTreeMap<ServerId, Endpoint>,
-    /// In the order in which they were delisted; [`MAX_DELISTED_IDS`] at most.
+    /// Delisted stores in the order of delisting; at most [`MAX_DELISTED_IDS`].
     delisted: VecDeque<ServerId>,
 }
 
 impl ListedEndpoints {
-    /// Applies a list or a change of it. Returns the stores that have left it.
+    /// Applies a complete list or a change of the list. Returns the stores that were removed.
     pub(super) fn update(&mut self, scope: ListScope, entries: Vec<Endpoint>) -> Vec<ServerId> {
         let mut removed = if scope.is_complete() { self.missing_from(&entries) } else { Vec::new() };
         removed.iter().for_each(|id| self.delist(*id));
@@ -44,7 +44,7 @@
         self.by_server.len()
     }
 
-    /// Whether a store was listed once and is not now.
+    /// Whether a store was listed earlier and is not listed now.
     pub(super) fn is_delisted(&self, id: ServerId) -> bool {
         self.delisted.contains(&id)
     }
--- a/crates/operations/src/manual_ejection/mod.rs
+++ b/crates/operations/src/manual_ejection/mod.rs
@@ -1,4 +1,4 @@
-//! Manual ejection of stores by operators. A store gets requests only if the endpoint list, the operators and its
+//! Manual ejection of stores by operators. A store receives requests only if the endpoint list, the operators and its
 //! health all allow it. This state machine combines the list with the operators' requests; the decision module adds
 //! health.
 mod listed_endpoints;
@@ -16,8 +16,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long the endpoint list of another process counts without an own update: by then the source of events has
-/// sent this process all of it.
+/// How long the endpoint list of another process applies to stores of which this process has received no update. After
+/// this time the event source has sent this process the complete list.
 const PEER_VIEW_LIFETIME: Duration = Duration::from_secs(3);
 
 /// The state machine of manual ejections.
@@ -25,8 +25,8 @@
 pub struct ManualEjections {
     listed: ListedEndpoints,
     records: EjectionRecords,
-    /// Listed stores that another process knows as draining or delisted, and until when that counts without an own
-    /// update of them.
+    /// Listed stores that are draining or delisted in the list of another process, with the time until which they are
+    /// treated as draining unless this process receives an update of them.
     drained_by_peer: BTreeMap<ServerId, MonotonicTime>,
 }
 
@@ -45,12 +45,12 @@
         }
     }
 
-    /// When [`Input::Timer`] is due.
+    /// The time at which [`Input::Timer`] is due; none if no timer is needed.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         self.drained_by_peer.values().min().copied()
     }
 
-    /// The newest record of each store that is ejected or was restored lately.
+    /// The newest record of each store that is ejected or was restored recently.
     pub fn records(&self) -> impl Iterator<Item = &EjectionRecord> {
         self.records.iter()
     }
@@ -60,17 +60,17 @@
         self.records.ejected()
     }
 
-    /// Whether a store is in the endpoint list, draining ones included.
+    /// Whether a store is in the endpoint list, possibly as draining.
     pub fn is_listed(&self, id: ServerId) -> bool {
         self.listed.get(id).is_some()
     }
 
-    /// The entry of a store in the endpoint list, draining ones included.
+    /// The entry of a store in the endpoint list, without manual ejections; draining stores included.
     pub fn listed(&self, id: ServerId) -> Option<&Endpoint> {
         self.listed.get(id)
     }
 
-    /// The listed stores, each with whether the list lets it have requests.
+    /// The listed stores, each with whether the endpoint list allows requests to it.
     pub fn endpoints(&self) -> impl Iterator<Item = PeerEndpoint> + '_ {
         self.listed.iter().map(|entry| PeerEndpoint {
             name: entry.name.clone(),
@@ -78,13 +78,14 @@
         })
     }
 
-    /// How many stores are in the endpoint list.
+    /// Number of stores in the endpoint list.
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
     fn update_list(&mut self, scope: ListScope, entries: Vec<Endpoint>, outputs: &mut Vec<Output>) {
-        // An own update is newer than what the other process sent at the start.
+        // An update from this process's own event source is newer than the list that the other process sent at the
+        // start.
         for entry in &entries {
             self.drained_by_peer.remove(&entry.host.server);
         }
@@ -106,7 +107,7 @@
         let eject = action == EjectionAction::Eject;
         let ejected_now = self.records.get(id, &store).is_some_and(|record| record.ejected);
         let listed = self.listed.get(id).is_some_and(|entry| entry.name == store);
-        // A delisted store can be restored, so that it is not ejected for ever should it come back.
+        // A delisted store can be restored; otherwise it would stay ejected for ever if it were listed again.
         let restorable = !eject && (ejected_now || self.listed.is_delisted(id));
         if !listed && !restorable {
             return EjectionOutcome::UnknownStore;
@@ -122,8 +123,8 @@
         EjectionOutcome::Applied
     }
 
-    /// Merges records and, if any was new, has the union saved and sent: requests that reach two processes at once
-    /// must not overwrite each other.
+    /// Merges records and, if any was newer than the existing one, requests that all records are saved and sent. The
+    /// union is sent because concurrent requests to two processes must not overwrite each other.
     fn merge_records(&mut self, now: MonotonicTime, records: Vec<EjectionRecord>, outputs: &mut Vec<Output>) {
         let newer = records.into_iter().filter_map(|record| self.records.insert_if_newer(now, record));
         let changed: Vec<ServerId> = newer.collect();
@@ -150,7 +151,8 @@
         self.report_changed(&expired, outputs);
     }
 
-    /// A list entry with manual ejections applied: an ejected store is draining, a restored one has started anew.
+    /// A list entry with manual ejections applied: an ejected store is draining, and a restored store counts as started
+    /// when it was restored.
     fn effective_entry(&self, entry: &Endpoint) -> Endpoint {
         let id = entry.host.server;
         if entry.host.state == State::Up && self.drained_by_peer.contains_key(&id) {
@@ -177,8 +179,8 @@
     Endpoint { host, ..entry.clone() }
 }
 
-/// The entry with a start no earlier than `time`. Operators restart a store while it is ejected: its slow start and its
-/// health begin anew.
+/// The entry with a start time no earlier than `time`. Operators restart a store while it is ejected, so its slow start
+/// and its health must start over.
 fn started_no_earlier_than(entry: &Endpoint, time: MonotonicTime) -> Endpoint {
     let host = Host { started: entry.host.started.max(time), ..entry.host.clone() };
     Endpoint { host, ..entry.clone() }
--- a/crates/operations/src/manual_ejection/record.rs
+++ b/crates/operations/src/manual_ejection/record.rs
@@ -1,53 +1,53 @@
-//! Records of what operators asked for last, of which the newest per store wins.
+//! Records of operators' eject and restore requests. The newest record of a store replaces older ones.
 use larchway::{MonotonicTime, ServerId};
 use larchway_endpoints::endpoint::endpoint_id;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Most stores that may be ejected at once, and most records. At the bound a further request is rejected: to accept
-/// and then forget one would be worse.
+/// Maximum number of ejected stores, and of records. Beyond it an ejection is rejected: accepting the request and
+/// dropping its record later would be worse.
 pub const MAX_EJECTION_RECORDS: usize = 4096;
-/// How long the record of a restored store is retained from when this process learned of it, so that both processes
-/// of an upgrade warm it up. Slow start is over long before.
+/// How long the record of a restored store is retained after this process received it, so that both processes of an
+/// upgrade warm the store up. Slow start ends long before.
 const RESTORED_RECORD_LIFETIME: Duration = Duration::from_secs(600);
-/// The least difference between two records of one store.
+/// Minimum difference between the times of two records of one store.
 const CLOCK_RESOLUTION: Duration = Duration::from_micros(1);
 
-/// The last request of operators for a store. The order of the fields is the encoding in frames and files.
+/// The newest request of operators for a store. The order of the fields is the encoding in frames and files.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EjectionRecord {
     /// The store's id.
     pub store: String,
-    /// Whether it is ejected.
+    /// Whether the request ejects the store; otherwise it restores the store.
     pub ejected: bool,
-    /// When that was asked for, on the clock that the gateway's processes share; in a file, microseconds on the Unix
-    /// clock. It is encoded as an integer.
+    /// The time of the request, on the clock that the gateway's processes share; in a file, microseconds on the Unix
+    /// clock. Encoded as an integer.
     pub recorded_at: MonotonicTime,
 }
 
 impl EjectionRecord {
-    /// Whether this record replaces another of the same store. Of two of the same time the ejection wins.
+    /// Whether this record replaces another of the same store. Of two records with the same time the ejection wins.
     fn replaces(&self, other: &EjectionRecord) -> bool {
         (self.recorded_at, self.ejected) > (other.recorded_at, other.ejected)
     }
 }
 
-/// A record, and when this process learned of it.
+/// A record and the time at which this process received it.
 #[derive(Debug, Clone)]
 struct ReceivedRecord {
     record: EjectionRecord,
     received_at: MonotonicTime,
 }
 
-/// The newest record of each store that is ejected or was restored lately; [`MAX_EJECTION_RECORDS`] at most.
+/// The newest record of each store that is ejected or was restored recently; at most [`MAX_EJECTION_RECORDS`].
 #[derive(Debug, Clone, Default)]
 pub(super) struct EjectionRecords {
     by_server: BTreeMap<ServerId, ReceivedRecord>,
 }
 
 impl EjectionRecords {
-    /// Takes in a record that is newer than the known one of its store. Returns the store's id if it did.
+    /// Inserts a record if it is newer than the existing record of its store. Returns the store's id if inserted.
     pub(super) fn insert_if_newer(&mut self, now: MonotonicTime, record: EjectionRecord) -> Option<ServerId> {
         let id = endpoint_id(&record.store);
         let received = self.by_server.get(&id);
@@ -60,12 +60,13 @@
         Some(id)
     }
 
-    /// The record of a store. Another store with the same number has none.
+    /// The record of a store; none if the record under this server number belongs to a store of another name.
     pub(super) fn get(&self, id: ServerId, store: &str) -> Option<&EjectionRecord> {
         self.by_server.get(&id).map(|received| &received.record).filter(|record| record.store == store)
     }
 
-    /// The time for a new record under this number: later than the one before it, even if the clock stands still.
+    /// The time for a new record of a server: later than that of the previous record, even if the clock has not
+    /// advanced.
     pub(super) fn next_record_time(&self, now: MonotonicTime, id: ServerId) -> MonotonicTime {
         self.by_server
             .get(&id)
@@ -82,15 +83,16 @@
         self.by_server.iter().filter(|(_, received)| received.record.ejected).map(|(&id, _)| id)
     }
 
-    /// Danger: by the time in a file, which a wall clock that is ahead makes old, the record of a store that was just
-    /// restored would be gone, and the store would count as warm.
+    /// Removes the expired records of restored stores. Their age counts from when they were received: a wall clock that
+    /// is ahead makes the time in a file look old, so the record of a store that was just restored would be removed and
+    /// the store would count as warm.
     fn remove_expired(&mut self, now: MonotonicTime) {
         self.by_server.retain(|_, received| {
             received.record.ejected || now < received.received_at + RESTORED_RECORD_LIFETIME
         });
     }
 
-    /// Removes the oldest records of restored stores beyond the bound; those of ejected stores stay.
+    /// Removes the oldest records of restored stores beyond the maximum. Records of ejected stores are never removed.
     fn remove_excess(&mut self) {
         while self.by_server.len() > MAX_EJECTION_RECORDS {
             let restored = self.by_server.iter().filter(|(_, received)| !received.record.ejected);
--- a/crates/operations/src/request_counters.rs
+++ b/crates/operations/src/request_counters.rs
@@ -1,11 +1,11 @@
-//! Counters of requests by class, attempts and reloads, each counted in one place: where the event happens.
+//! Counters of requests by class, attempts and configuration reloads. Each event is counted in one place only.
 mod statsd;
 
 use larchway::RejectionCounts;
 use std::collections::BTreeMap;
 
-/// Most classes that are counted by name. Further names are counted under [`OTHER_CLASSES`], so that weeks of renamed
-/// classes take no more memory than this.
+/// Maximum number of classes counted by name. Further names are counted under [`OTHER_CLASSES`], so that repeated
+/// renames of classes do not grow the memory without bound.
 const MAX_CLASSES: usize = 1000;
 /// The name under which classes beyond [`MAX_CLASSES`] are counted.
 const OTHER_CLASSES: &str = "other";
@@ -13,22 +13,22 @@
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// It was served.
+    /// The request was served.
     Served,
-    /// It was rejected before it had an effect: a retry is harmless.
+    /// The request was rejected before it had an effect, so a retry is safe.
     Rejected,
-    /// It failed, or its client left before its answer.
+    /// The request failed, or its client disconnected before the reply.
     Failed,
 }
 
-/// Ended requests of a class, by how they ended.
+/// Numbers of ended requests of a class, by outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ClassCounts {
-    /// Served.
+    /// Requests that were served.
     pub served: u64,
-    /// Rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
 }
 
@@ -37,14 +37,14 @@
 pub struct CountedClass<'a> {
     /// The name of the class.
     pub name: &'a str,
-    /// Its counts.
+    /// The counts of its ended requests.
     pub counts: ClassCounts,
 }
 
-/// Values that their owners measure when the report is made.
+/// Present values that the caller collects for a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Gauges {
-    /// Stores in the list.
+    /// Stores in the endpoint list.
     pub known_stores: usize,
     /// Listed stores that are avoided now.
     pub skipped_stores: usize,
@@ -52,11 +52,11 @@
     pub unsaved_files: usize,
     /// Stores and parents that are warming up.
     pub warming_stores: usize,
-    /// Requests that the decision module has given up by itself, by the reason.
+    /// Requests that the decision module itself has rejected, by reason.
     pub rejections: RejectionCounts,
 }
 
-/// Counters since the process began.
+/// Counters since the process started.
 #[derive(Debug, Clone, Default)]
 pub struct RequestCounters {
     classes: BTreeMap<String, ClassCounts>,
@@ -67,17 +67,17 @@
     reload_errors: u64,
 }
 
-/// What came of a reload of the configuration.
+/// The outcome of a configuration reload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReloadOutcome {
     /// The new configuration is in force.
     Applied,
-    /// The former configuration stays in force.
+    /// The previous configuration stays in force.
     Rejected,
 }
 
 impl RequestCounters {
-    /// Names the classes in force: each is reported from now on, also while its counts are zero.
+    /// Declares the classes in force. Each is reported from now on, even while its counts are zero.
     pub fn declare<'a>(&mut self, names: impl Iterator<Item = &'a str>) {
         for name in names {
             self.class_mut(name);
@@ -87,19 +87,19 @@
     fn class_mut(&mut self, name: &str) -> &mut ClassCounts {
         let is_counted = self.classes.contains_key(name);
         let name = if is_counted || self.classes.len() < MAX_CLASSES { name } else { OTHER_CLASSES };
-        // The lookup comes first: a request should not cost an allocation for its class's name.
+        // Looks the name up first, so that a request of a known class does not allocate.
         if !is_counted && !self.classes.contains_key(name) {
             self.classes.insert(name.to_string(), ClassCounts::default());
         }
         self.classes.get_mut(name).expect("it was inserted above")
     }
 
-    /// A request was received.
+    /// Counts a received request.
     pub fn count_received(&mut self) {
         self.received += 1;
     }
 
-    /// A received request has ended.
+    /// Counts the end of a received request.
     pub fn count_ended(&mut self, class: &str, end: RequestEnd) {
         self.ended += 1;
         let counts = self.class_mut(class);
@@ -110,12 +110,12 @@
         }
     }
 
-    /// An attempt was written completely to a store.
+    /// Counts an attempt whose request was written completely to a store.
     pub fn count_attempt(&mut self) {
         self.attempts += 1;
     }
 
-    /// Counts reloads of the configuration that ended with the same outcome.
+    /// Counts configuration reloads that had the same outcome.
     pub fn count_reload(&mut self, reloads: u64, outcome: ReloadOutcome) {
         match outcome {
             ReloadOutcome::Applied => self.reloads += reloads,
@@ -123,17 +123,17 @@
         }
     }
 
-    /// Requests received and not ended.
+    /// Number of requests received and not yet ended.
     pub fn in_progress(&self) -> u64 {
         self.received - self.ended
     }
 
-    /// Requests received.
+    /// Number of requests received.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// The counts of a class.
+    /// The counts of a class; zero if the class is not counted by name.
     pub fn class(&self, class: &str) -> ClassCounts {
         self.classes.get(class).copied().unwrap_or_default()
     }
--- a/crates/operations/src/request_counters/statsd.rs
+++ b/crates/operations/src/request_counters/statsd.rs
@@ -1,9 +1,9 @@
-//! The counters as lines of StatsD. Names of figures are those of `docs/operate/operations.md`.
+//! The report of the counters in StatsD format. `docs/operate/operations.md` documents the metric names.
 use super::{CountedClass, Gauges, RequestCounters};
 use std::fmt::Write;
 
 impl RequestCounters {
-    /// All figures as lines of StatsD: `|c` counts since the process began, `|g` is the present value.
+    /// Returns all metrics as StatsD lines. `|c` values count since the process started, `|g` values are current.
     pub fn report(&self, gauges: Gauges) -> String {
         let mut report = String::new();
         for CountedClass { name, counts } in self.classes() {
@@ -29,17 +29,17 @@
     }
 }
 
-/// StatsD's type of a value that counts up since the process began.
+/// StatsD type of a counter, which here counts since the process started.
 const COUNTER: char = 'c';
-/// StatsD's type of a present value.
+/// StatsD type of a gauge, the current value.
 const GAUGE: char = 'g';
 
 fn write_metric(report: &mut String, name: &str, value: u64, kind: char) {
     let _ = writeln!(report, "svc.{name}:{value}|{kind}");
 }
 
-/// A class's name for use in a line: what would end the name or the line is written as `%` and two hexadecimal
-/// digits, as in RFC 3986; letters beyond ASCII stay.
+/// Escapes a class name for a StatsD line. Delimiters, white space and control characters are percent-encoded as in
+/// RFC 3986; other characters stay, including those outside ASCII.
 fn escape_name(name: &str) -> String {
     let mut escaped = String::new();
     for c in name.chars() {
--- a/crates/operations/tests/handover.rs
+++ b/crates/operations/tests/handover.rs
@@ -1,4 +1,5 @@
-//! Frames between two processes of one gateway: whole or refused (invariant 10 of `docs/design/operations.md`).
+//! Frames between two processes of one gateway: each is decoded completely or rejected (invariant 10 of
+//! `docs/design/operations.md`). Also the process group and the deadline of a shutdown.
 use larchway::MonotonicTime;
 use larchway_operations::handover::{
     DecodedFrame, Frame, FrameError, HandoverState, ProcessStatus, StoreWork, MAX_FRAME_LENGTH,
@@ -56,7 +57,9 @@
         let (mut input, mut decoded) = (Vec::new(), Vec::new());
         for chunk in bytes.chunks(chunk_size) {
             input.extend_from_slice(chunk);
-            while let Some(DecodedFrame { frame, length }) = Frame::decode_first(&input).expect("no fault") {
+            while let Some(DecodedFrame { frame, length }) =
+                Frame::decode_first(&input).expect("a valid frame")
+            {
                 input.drain(..length);
                 decoded.push(format!("{frame:?}"));
             }
@@ -79,7 +82,11 @@
     assert_eq!((group.process_count(), group.has_successor()), (3, false));
     group.left(0);
     group.left(1);
-    assert_eq!((group.process_count(), group.has_successor()), (1, false), "again alone, with all limits");
+    assert_eq!(
+        (group.process_count(), group.has_successor()),
+        (1, false),
+        "the only process has all limits again"
+    );
 }
 
 #[test]
@@ -128,11 +135,11 @@
     ]
     .map(|error| error.to_string());
     let expected = [
-        "it is nothing that larchway wrote",
+        "it was not written by larchway",
         "it is of version 2, and 1 is read here",
-        "it is torn",
-        "it has 9 bytes, and 8388608 are read at most",
-        "its checksum does not fit",
+        "it is truncated or has trailing bytes",
+        "its body has 9 bytes, and the maximum is 8388608",
+        "it is corrupt: its checksum does not match, or its body cannot be decoded",
     ];
     assert_eq!(texts, expected);
 }
--- a/crates/operations/tests/manual_ejection.rs
+++ b/crates/operations/tests/manual_ejection.rs
@@ -1,5 +1,5 @@
-//! Random histories of the stores that are out by hand, against what the test itself keeps of each store. Numbers are
-//! those of `docs/design/operations.md`.
+//! Manual ejections: random histories, checked against a model of each store, and single cases. Invariant numbers refer
+//! to `docs/design/operations.md`.
 use larchway::{Host, MonotonicTime, State};
 use larchway_endpoints::{Endpoint, ListScope};
 use larchway_operations::manual_ejection::{
@@ -83,16 +83,16 @@
                     if applicable && !eject && ejected.remove(&id) { restored_at.insert(id, now); }
                     ejections.handle(now, Input::OperatorRequest { store: format!("s-{id:x}"), action: action(eject) }, &mut outputs);
                 }
-                // The gateway's other process was called.
+                // Operators sent the request to the gateway's other process.
                 Step::PeerRequest(id, eject) => {
                     if eject { ejected.insert(id); } else { ejected.remove(&id); restored_at.insert(id, now); }
                     let record = EjectionRecord { store: format!("s-{id:x}"), ejected: eject, recorded_at: now };
-                    // An older word that comes late changes nothing.
+                    // An older record that arrives late changes nothing.
                     let stale = EjectionRecord { ejected: !eject, recorded_at: at(500), ..record.clone() };
                     ejections.handle(now, Input::Records(vec![record, stale]), &mut outputs);
                     saved = ejections.records().cloned().collect();
                 }
-                // Another process begins from what was kept, and from its list.
+                // A new process starts from the saved records and its own endpoint list.
                 Step::Restart => {
                     ejections = ManualEjections::default();
                     reported.clear();
@@ -112,7 +112,7 @@
                             else { reported.insert(endpoint.host.server, (endpoint.host.state, endpoint.host.started)); }
                         }
                     }
-                    // What is kept is so before the caller is told (invariant 3).
+                    // The records are saved before the operator gets the reply (invariant 3).
                     Output::SaveRecords(records) => { prop_assert!(reply.is_none()); saved = records; }
                     Output::Reply(replied) => reply = Some(replied),
                 }
@@ -120,10 +120,10 @@
             prop_assert_eq!(reply, outcome);
             prop_assert_eq!(reported.keys().collect::<Vec<_>>(), listed.keys().collect::<Vec<_>>());
             for (id, (state, started)) in &reported {
-                // Invariant 2: usable only where each allows it.
+                // Invariant 2: a store is usable only if the list and the operators allow it.
                 let usable = listed[id] == State::Up && !ejected.contains(id);
                 prop_assert_eq!(*state == State::Up, usable, "store {}", id);
-                // Invariant 4: what came back has started then.
+                // Invariant 4: a restored store counts as started when it was restored.
                 if let (Some(at), false) = (restored_at.get(id), ejected.contains(id)) {
                     prop_assert_eq!(*started, *at, "store {}", id);
                 }
@@ -153,10 +153,10 @@
     let stores = vec![peer_endpoint("s-1", true), peer_endpoint("s-2", false)];
     let drained = handle_input(&mut ejections, at(20), Input::PeerEndpoints(stores));
     assert_eq!(drained, [(2, State::Draining), (3, State::Draining)]);
-    // Own news ends one doubt, time the other.
+    // An own update ends the draining of one store, expiry that of the other.
     let update = Input::EndpointList { scope: ListScope::Changes, entries: vec![entry(2, State::Up)] };
     assert_eq!(handle_input(&mut ejections, at(30), update), [(2, State::Up)]);
-    let expiry = ejections.next_due().expect("a doubt is left");
+    let expiry = ejections.next_due().expect("one store is still drained by the peer");
     assert_eq!(handle_input(&mut ejections, expiry - MICROSECOND, Input::Timer), []);
     assert_eq!(handle_input(&mut ejections, expiry, Input::Timer), [(3, State::Up)]);
     assert_eq!(ejections.next_due(), None);
@@ -179,19 +179,23 @@
     });
     assert_eq!(handle_input(request("s-1", true)), Some(EjectionOutcome::Applied));
     handle_input(Input::EndpointList { scope: ListScope::Complete, entries: vec![entry(2, State::Up)] });
-    assert_eq!(handle_input(request("s-2", false)), Some(EjectionOutcome::Applied), "back without out");
+    assert_eq!(
+        handle_input(request("s-2", false)),
+        Some(EjectionOutcome::Applied),
+        "a store that is not ejected can be restored"
+    );
     assert_eq!(handle_input(request("s-9", true)), Some(EjectionOutcome::UnknownStore));
     assert_eq!(handle_input(request("s-9", false)), Some(EjectionOutcome::UnknownStore));
     assert_eq!(
         handle_input(request("other-2", true)),
         Some(EjectionOutcome::UnknownStore),
-        "another name for the same number"
+        "another name with the same server number"
     );
     assert_eq!(handle_input(request("s-1", false)), Some(EjectionOutcome::Applied));
     assert_eq!(
         handle_input(request("s-1", true)),
         Some(EjectionOutcome::UnknownStore),
-        "it is not there to be taken out"
+        "a delisted store cannot be ejected"
     );
 }
 
@@ -219,5 +223,5 @@
     let further = request(limit + 3, limit + 1, EjectionAction::Eject);
     assert_eq!(further, Some(Output::Reply(EjectionOutcome::Applied)));
     assert_eq!(ejections.records().count(), MAX_EJECTION_RECORDS);
-    assert!(ejections.records().all(|record| record.ejected), "the record of the restored store is gone");
+    assert!(ejections.records().all(|record| record.ejected), "the record of the restored store is removed");
 }
--- a/crates/operations/tests/recorded_frames.rs
+++ b/crates/operations/tests/recorded_frames.rs
@@ -1,20 +1,20 @@
-//! What a process tells its successor, and what it stores of operators' calls, outlives its release: the bytes of an
-//! earlier release are read field by field, and the same content is written as the same bytes.
+//! Compatibility of handover frames and stored ejection records between releases: bytes recorded from an earlier release
+//! are decoded field by field, and the same content is encoded to the same bytes.
 use larchway::MonotonicTime;
 use larchway_operations::handover::{DecodedFrame, Frame, HandoverState, ProcessStatus};
 use larchway_operations::manual_ejection::{EjectionRecord, PeerEndpoint};
 
-/// What a process sent to one that began, on the socket between the two, recorded from a release in which version 1 of the
-/// format was in use. It had served two requests, heard of a purge, and was called by operators.
+/// Frames that a process sent to its successor over their socket, recorded from a release that used version 1 of the
+/// format. The process had served two requests, received a purge, and handled operators' requests.
 const HANDOVER: &[u8] = include_bytes!("data/handover-version-1.frames");
-/// The file in which the same process stored what operators had said.
+/// The file in which the same process stored the operators' requests.
 const EJECTIONS: &[u8] = include_bytes!("data/manual-ejections-version-1.stores");
 
-/// When operators called, µs.
+/// Times of the operators' requests, in microseconds.
 const FIRST_EJECTED_AT: u64 = 1_796_218_740_928_416;
 const SECOND_RESTORED_AT: u64 = 1_796_218_740_929_401;
 const SECOND_EJECTED_AT: u64 = 1_796_218_741_230_865;
-/// When the process wrote down what it had learned, µs.
+/// Time at which the process took the snapshot of its learned state, in microseconds.
 const SNAPSHOT_TAKEN_AT: u64 = 1_796_218_741_230_218;
 
 fn record(store: &str, ejected: bool, recorded_at: u64) -> EjectionRecord {
