--- a/crates/object-cache/src/cache.rs
+++ b/crates/object-cache/src/cache.rs
@@ -1,4 +1,4 @@
-//! The cache: which objects are admitted, which may answer, and which are invalidated.
+//! The object cache: admission, lookup, eviction and invalidation of objects.
 use crate::link_budget::{LinkBudget, LinkRates, Transfer};
 use crate::lookup::{CacheHit, Lookup, Miss};
 use crate::metrics::{CacheCounts, CacheReport};
@@ -10,27 +10,28 @@
 use larchway::{duration_micros, MonotonicTime};
 use std::time::Duration;
 
-/// How far in the future an object may be issued by the local clock. Beyond that it would be fresh for too long.
+/// How far after the current time the issue time of an object may be, by the local clock. An object issued later than
+/// that is not admitted, as it would stay fresh for too long.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(1);
 
-/// The memory that the cache shares with others.
+/// The memory that the cache shares with other uses, such as client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryBudget {
-    /// Bytes that all may take together.
+    /// Maximum bytes for all uses together, the cache included.
     pub limit: usize,
-    /// Bytes that others take.
+    /// Bytes taken by the other uses.
     pub reserved: usize,
 }
 
-/// Objects in memory that answer requests without a store. All methods take the time as an argument.
+/// Objects in memory that answer requests without a store. Methods that depend on the time take it as an argument.
 pub struct ObjectCache {
     settings: CopiesFile,
-    /// Bounded by `capacity`.
+    /// The cached objects, which take at most `capacity` bytes.
     entries: SegmentedLru,
-    /// Bytes of memory that the entries may take.
+    /// Maximum bytes of memory for the entries.
     capacity: usize,
     link_budget: LinkBudget,
-    /// Purges that objects still on their way from a store may be older than.
+    /// Recent purges. Objects still in transit from a store may have been issued before them.
     purges: PurgeTable,
     purge_feed: PurgeFeed,
     counts: CacheCounts,
@@ -76,7 +77,7 @@
         self.purge_feed.set_timeout(timeout);
     }
 
-    /// Records that the purge feed carried something.
+    /// Records that something was received from the purge feed.
     pub fn feed_active(&mut self, now: MonotonicTime) {
         self.purge_feed.record_activity(now);
     }
@@ -86,7 +87,7 @@
         self.purge_feed.record_disconnect();
     }
 
-    /// The object that answers a request now, if there is one. Its transfer is charged to the client link.
+    /// Returns the object that may answer a request now, if there is one, and charges its transfer to the client link.
     pub fn lookup(&mut self, now: MonotonicTime, key: CacheKey, lookup: Lookup<'_>) -> Option<CacheHit> {
         match self.find_usable(now, key, lookup) {
             Ok(hit) => {
@@ -112,7 +113,7 @@
             self.entries.remove(key);
             return Err(Miss::Stale);
         }
-        // Stores may have purged the object already: the requests go to them until the feed is current again.
+        // Stores may already have purged the object, so requests go to the stores until the feed is current again.
         if !self.purge_feed.is_current(now) {
             return Err(Miss::PurgeFeedSilent);
         }
@@ -151,13 +152,13 @@
         if self.entries.get(key).is_some_and(|cached| cached.issued >= object.issued) {
             return false;
         }
-        // An object issued in the same microsecond as the purge may be from before it.
+        // An object issued in the same microsecond as the purge may have been issued before it.
         let purged_at = self.purges.latest(now, key.object, group);
         purged_at.is_none_or(|purged_at| object.issued > purged_at)
     }
 
-    /// Applies a purge: objects issued up to `issued` are removed and no longer admitted. The purge is
-    /// remembered for `retention`, as long as such objects may still arrive from stores.
+    /// Applies a purge: objects of the target issued up to `issued` are removed and no longer admitted. The purge is
+    /// remembered for `retention`, the time for which such objects may still arrive from stores.
     pub fn purge(
         &mut self,
         now: MonotonicTime,
@@ -175,7 +176,7 @@
     }
 
     /// Removes all objects because purges may have been missed. Objects issued up to `issued`, the latest issue
-    /// time that can have been announced by now, are not admitted for `retention`.
+    /// time that a missed purge can have, are not admitted for `retention`.
     pub fn invalidate_up_to(&mut self, now: MonotonicTime, issued: MonotonicTime, retention: Duration) {
         self.counts.purged += self.entries.len() as u64;
         self.entries.clear();
@@ -210,7 +211,7 @@
     }
 }
 
-/// A share of a span, in whole microseconds.
+/// Returns a percentage of a duration, in whole microseconds.
 fn percent_of(span: Duration, percent: u8) -> Duration {
     Duration::from_micros(duration_micros(span) / 100 * u64::from(percent))
 }
--- a/crates/object-cache/src/link_budget/tests.rs
+++ b/crates/object-cache/src/link_budget/tests.rs
@@ -11,19 +11,19 @@
 
 #[test]
 fn transfers_queue_until_one_would_wait_too_long() {
-    // 10 bytes a ms in all, 1 of one transfer: of 100 bytes each, one takes 100 ms and the link 10.
+    // The link carries 10 bytes/ms and a single transfer 1 byte/ms: 100 bytes take 100 ms, and 10 ms of the link.
     let mut link = LinkBudget::new(LinkRates { per_transfer: 1_000.0, total: 10_000.0 });
     let admits = |link: &mut LinkBudget, now, not_modified| {
         link.admit(at(now), transfer(100, not_modified, 20_000, 1_000_000))
     };
-    // The link is the bound only from the eleventh on.
+    // The link delays transfers only from the eleventh on.
     let admitted = (0..40).take_while(|_| admits(&mut link, 0, false)).count();
     assert_eq!(admitted, 12);
     assert!(
         !admits(&mut link, 60_000, true),
-        "a reply without bytes is short, but the queue before it is not"
+        "a reply without content is short, but the queue before it is not"
     );
-    assert!(admits(&mut link, 60_000, false), "a long transfer has time while the queue ends");
+    assert!(admits(&mut link, 60_000, false), "the queue ends while the long transfer is in progress");
     assert!(admits(&mut link, 111_000, true));
 }
 
--- a/crates/object-cache/src/lookup.rs
+++ b/crates/object-cache/src/lookup.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the cache, and the result.
+//! The conditions of a cache lookup and its result.
 use crate::object::CachedObject;
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,22 +6,22 @@
 /// The conditions under which a cached object may answer a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Lookup<'a> {
-    /// How long an object may answer after it was issued; zero means until it is purged.
+    /// Maximum age of the object since it was issued; zero means that it may answer until it is purged.
     pub time_to_live: Duration,
     /// The latency objective of the request's class, without the allowance for the transfer.
     pub latency_objective: Duration,
-    /// How long the client still waits for the reply.
+    /// Time until the client's deadline for the reply.
     pub time_left: Duration,
-    /// The entity tag of the copy that the client holds.
+    /// The entity tag of the copy that the client holds, if it sent one.
     pub client_tag: Option<&'a str>,
 }
 
 /// A reply from the cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheHit {
-    /// The object.
+    /// The cached object.
     pub object: Rc<CachedObject>,
-    /// Whether the client holds the same object, so that no bytes have to be sent.
+    /// Whether the client already holds the same object, so that its content is not sent.
     pub not_modified: bool,
 }
 
@@ -34,6 +34,6 @@
     Stale,
     /// The purge feed is silent or disconnected: the object may have been purged.
     PurgeFeedSilent,
-    /// The client link is too busy.
+    /// The client link is too busy to send the reply in time.
     LinkBusy,
 }
--- a/crates/object-cache/src/metrics.rs
+++ b/crates/object-cache/src/metrics.rs
@@ -8,7 +8,7 @@
     /// Lookups answered from the cache.
     #[serde(rename = "served")]
     pub hits: u64,
-    /// Bytes of these replies.
+    /// Bytes of content sent in these replies.
     #[serde(rename = "served_bytes")]
     pub hit_bytes: u64,
     /// Lookups of objects that are not cached.
@@ -29,7 +29,7 @@
     /// Objects evicted for lack of capacity.
     #[serde(rename = "pushed_out")]
     pub evicted: u64,
-    /// Objects removed because a purge concerned or may have concerned them.
+    /// Objects removed by a purge, or because a purge of them may have been missed.
     pub purged: u64,
 }
 
@@ -60,14 +60,14 @@
     /// Number of cached objects.
     #[serde(rename = "copies")]
     pub entries: usize,
-    /// Bytes of memory that they take.
+    /// Bytes of memory that the cached objects take.
     pub bytes: usize,
-    /// Bytes of memory that they may take now.
+    /// Bytes of memory that the cached objects may take now.
     #[serde(rename = "room")]
     pub capacity: usize,
     /// Whether the purge feed is current, so that cached objects may answer.
     #[serde(rename = "trusted")]
     pub purge_feed_current: bool,
-    /// The counters.
+    /// The counters of lookups and entries.
     pub counts: CacheCounts,
 }
--- a/crates/object-cache/src/object.rs
+++ b/crates/object-cache/src/object.rs
@@ -1,8 +1,8 @@
 //! Cached objects and the keys under which they are stored.
 use larchway::MonotonicTime;
 
-/// Bytes that an entry takes besides its object: the entry, its places in the indexes and the allocator's
-/// rounding.
+/// Bytes of memory that an entry takes in addition to its object: the entry itself, its index entries and the
+/// allocator's rounding.
 const ENTRY_OVERHEAD: usize = 256;
 
 /// The key of a cached object: a part of an object, as served to a request class.
@@ -12,17 +12,17 @@
     pub object: u64,
     /// The part of the object.
     pub part: u64,
-    /// The request class, by its slot.
+    /// The slot number of the request class.
     pub class: usize,
 }
 
 impl CacheKey {
-    /// The least key of an object in the order of keys.
+    /// The smallest key of an object, as the start of a key range.
     pub(crate) const fn first_of(object: u64) -> Self {
         CacheKey { object, part: 0, class: 0 }
     }
 
-    /// The greatest key of an object in the order of keys.
+    /// The largest key of an object, as the end of a key range.
     pub(crate) const fn last_of(object: u64) -> Self {
         CacheKey { object, part: u64::MAX, class: usize::MAX }
     }
@@ -31,19 +31,19 @@
 /// A part of an object as a store served it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CachedObject {
-    /// The entity tag, if the store named one.
+    /// The entity tag, if the store sent one.
     pub entity_tag: Option<String>,
-    /// When the origin issued it, by the origin's clock; [`MonotonicTime::MIN`] if it did not say. Only comparable
-    /// with the issue times of purges.
+    /// Issue time by the origin's clock, or [`MonotonicTime::MIN`] if the origin gave none. Comparable only with the
+    /// issue times of purges.
     pub issued: MonotonicTime,
-    /// When the origin issued it, by the local clock. Its time to live starts here.
+    /// Issue time by the local clock. The time to live starts here.
     pub issued_local: MonotonicTime,
-    /// The bytes.
+    /// The content of the part.
     pub bytes: Box<[u8]>,
 }
 
 impl CachedObject {
-    /// The bytes of memory that the object takes as an entry of the cache.
+    /// Bytes of memory that the object takes as an entry of the cache.
     pub(crate) fn memory_size(&self) -> usize {
         let tag_size = self.entity_tag.as_ref().map_or(0, String::len);
         ENTRY_OVERHEAD + self.bytes.len() + tag_size
--- a/crates/object-cache/src/operator_file.rs
+++ b/crates/object-cache/src/operator_file.rs
@@ -12,19 +12,19 @@
 /// Accepted values of `wait_percent`.
 const WAIT_PERCENT: RangeInclusive<u8> = 0..=100;
 
-/// The file of the copies under `deploy/`. Its schema is printed by `larchway schema copies`.
+/// Settings of the object cache, `deploy/copies.json`. `larchway schema copies` prints their schema.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CopiesFile {
-    /// Part of the memory limit that copies may take, in percent, from 1 to 50. What clients' connections hold goes off
-    /// it, so both together never take more than the larger of their two bounds.
+    /// Share of the memory limit that cached objects may take, in percent, from 1 to 50. The memory of client
+    /// connections is deducted from it, so both together never take more than the larger of their two limits.
     #[serde(default = "memory_percent")]
     pub memory_percent: u8,
-    /// Part of that room that a single copy may take, in percent, from 1 to 100.
+    /// Share of the cache's capacity that a single object may take, in percent, from 1 to 100.
     #[serde(default = "largest_percent")]
     pub largest_percent: u8,
-    /// Part of a class's aim that an answer may wait for those before it on the gateway's link, in percent, up to 100;
-    /// a request that would wait for longer goes to the stores.
+    /// Share of a class's latency objective that a reply may wait for earlier replies on the gateway's client link, in
+    /// percent, from 0 to 100. A request whose reply would wait longer is forwarded to the stores.
     #[serde(default = "wait_percent")]
     pub wait_percent: u8,
 }
@@ -49,7 +49,7 @@
 }
 
 impl CopiesFile {
-    /// Checks that each value can be used.
+    /// Checks that each value is in its accepted range.
     ///
     /// # Errors
     ///
@@ -74,13 +74,13 @@
     /// A percentage is out of its range.
     #[error("{key}: {value} is not from {least} to {most}")]
     OutOfRange {
-        /// Its key in the file.
+        /// The key of the value in the file.
         key: &'static str,
-        /// Its value.
+        /// The rejected value.
         value: u8,
-        /// The least value that is accepted.
+        /// The smallest accepted value.
         least: u8,
-        /// The greatest value that is accepted.
+        /// The largest accepted value.
         most: u8,
     },
 }
--- a/crates/object-cache/src/purge_feed.rs
+++ b/crates/object-cache/src/purge_feed.rs
@@ -1,25 +1,25 @@
-//! Whether the feed of purges is current. While it is not, a cached object may have been purged unnoticed.
+//! The state of the purge feed. While the feed is not current, purges of cached objects may have been missed.
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// How long the feed may be silent by default: it carries a heartbeat every second.
+/// Default maximum silence of the feed, which carries a heartbeat every second.
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Where purges come from.
+/// The source of purges.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PurgeSource {
-    /// A feed: objects answer only while it is current.
+    /// A feed: cached objects answer only while it is current.
     Feed,
-    /// Nowhere: nothing is ever purged.
+    /// No source: nothing is ever purged.
     None,
 }
 
-/// The connection to the feed.
+/// The state of the connection to the feed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum FeedState {
     /// No feed is configured: nothing is ever purged.
     NotConfigured,
-    /// Something was received, last at this time.
+    /// The feed is connected; something was last received at this time.
     ActiveAt(MonotonicTime),
     /// The feed is not connected.
     Disconnected,
@@ -38,7 +38,7 @@
         PurgeFeed { state: FeedState::Disconnected, timeout: DEFAULT_TIMEOUT }
     }
 
-    /// Sets where purges come from. A feed that is new counts as disconnected.
+    /// Sets the source of purges. A newly configured feed counts as disconnected.
     pub(crate) fn set_source(&mut self, source: PurgeSource) {
         match source {
             PurgeSource::None => self.state = FeedState::NotConfigured,
@@ -64,7 +64,7 @@
         self.state = FeedState::Disconnected;
     }
 
-    /// Whether all purges up to now can be assumed to be known.
+    /// Whether all purges up to now can be assumed to have been received.
     pub(crate) fn is_current(&self, now: MonotonicTime) -> bool {
         match self.state {
             FeedState::NotConfigured => true,
--- a/crates/object-cache/src/segmented_lru.rs
+++ b/crates/object-cache/src/segmented_lru.rs
@@ -16,7 +16,7 @@
     object: Rc<CachedObject>,
     group: u64,
     segment: SegmentId,
-    /// Its position in the order of use of its segment.
+    /// Position of the entry in the order of use of its segment.
     sequence: u64,
 }
 
@@ -50,12 +50,12 @@
     }
 }
 
-/// The entries of the cache. It has no bound of its own: the owner calls [`SegmentedLru::evict`] with the
+/// The entries of the cache. It does not limit its size itself: the owner calls [`SegmentedLru::evict`] with the
 /// capacity after each insertion.
 #[derive(Debug, Default)]
 pub(crate) struct SegmentedLru {
     entries: BTreeMap<CacheKey, Entry>,
-    /// The keys by group, so that the purge of a group costs no more than its entries.
+    /// The keys by group, so that the purge of a group visits only the group's entries.
     by_group: BTreeSet<(u64, CacheKey)>,
     probationary: Segment,
     protected: Segment,
@@ -73,13 +73,13 @@
         self.probationary.bytes + self.protected.bytes
     }
 
-    /// The object under a key. This does not count as a use.
+    /// The object with this key, if it is cached. This does not count as a use.
     pub(crate) fn get(&self, key: CacheKey) -> Option<&Rc<CachedObject>> {
         self.entries.get(&key).map(|entry| &entry.object)
     }
 
-    /// Adds an object as the most recently used of its segment. One that replaces another stays in that
-    /// one's segment.
+    /// Adds an object as the most recently used of its segment. An object that replaces another takes the segment of
+    /// the replaced one; others are probationary.
     pub(crate) fn insert(&mut self, key: CacheKey, group: u64, object: CachedObject) {
         let replaced = self.detach(key);
         let segment = replaced.map_or(SegmentId::Probationary, |entry| entry.segment);
@@ -87,7 +87,7 @@
         self.attach(key, entry);
     }
 
-    /// Removes an entry, if there is one under this key.
+    /// Removes the entry with this key, if there is one.
     pub(crate) fn remove(&mut self, key: CacheKey) {
         self.detach(key);
     }
@@ -106,7 +106,7 @@
         self.demote_excess(capacity);
     }
 
-    /// Evicts entries until they fit into the capacity, and returns how many.
+    /// Evicts entries until the rest fits into the capacity, in bytes. Returns the number of evicted entries.
     pub(crate) fn evict(&mut self, capacity: usize) -> u64 {
         let mut evicted = 0;
         while self.bytes() > capacity {
@@ -117,7 +117,7 @@
         evicted
     }
 
-    /// The keys that a purge concerns.
+    /// The keys of the entries that a purge with this target applies to.
     pub(crate) fn keys_for_purge(&self, target: PurgeTarget) -> Vec<CacheKey> {
         match target {
             PurgeTarget::Object(object) => {
--- a/crates/object-cache/tests/cache.rs
+++ b/crates/object-cache/tests/cache.rs
@@ -1,4 +1,4 @@
-//! Admission, eviction, conditional lookups, and what operators see of them.
+//! Admission, eviction, conditional lookups, and the report to operators.
 use larchway::purges::PurgeTarget;
 use larchway::MonotonicTime;
 use larchway_object_cache::{
@@ -9,7 +9,7 @@
 const MICROSECOND: Duration = Duration::from_micros(1);
 const MS: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
-/// A moment far enough from the first for objects issued before it.
+/// A time that leaves room for objects issued before it.
 const NOW: MonotonicTime = MonotonicTime::from_micros(1_000_000_000);
 const MEMORY_LIMIT: usize = 4_000_000;
 
--- a/crates/object-cache/tests/histories.rs
+++ b/crates/object-cache/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories, checked against a list of everything that was ever inserted and purged. The numbers are those
-//! of the invariants in `docs/design/copies.md`.
+//! Random histories, checked against a list of all insertions and purges. Invariant numbers refer to
+//! `docs/design/copies.md`.
 use larchway::purges::PurgeTarget;
 use larchway::MonotonicTime;
 use larchway_object_cache::{
@@ -8,12 +8,12 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Longer than any store may still hold what was purged.
+/// Longer than any store may still hold an object after its purge.
 const RETENTION: Duration = Duration::from_secs(18);
 const FEED_TIMEOUT: Duration = Duration::from_millis(1_500);
 const START: MonotonicTime = MonotonicTime::from_micros(1_000_000_000);
 const MEMORY_LIMIT: usize = 100_000;
-/// The share of the memory limit by the default settings.
+/// Bytes of the cache's default share of the memory limit.
 const MEMORY_SHARE: usize = 25_000;
 
 #[derive(Debug, Clone)]
@@ -47,7 +47,7 @@
     object % 3
 }
 
-/// An object that was inserted. The serial number is in its first bytes.
+/// An inserted object. Its content starts with the serial number, in eight bytes.
 struct Inserted {
     key: CacheKey,
     issued: MonotonicTime,
--- a/crates/object-cache/tests/operator_file.rs
+++ b/crates/object-cache/tests/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator file of the cache.
+//! Range checks of the operator file of the object cache.
 use larchway_object_cache::CopiesFile;
 
 #[test]
--- a/crates/object-cache/tests/purges.rs
+++ b/crates/object-cache/tests/purges.rs
@@ -1,4 +1,4 @@
-//! Purges, also those that were missed: objects issued before them neither answer nor are admitted.
+//! Purges, including missed ones: objects issued before a purge neither answer nor are admitted.
 use larchway::purges::PurgeTarget;
 use larchway::MonotonicTime;
 use larchway_object_cache::{
@@ -40,7 +40,10 @@
     cache.insert(now + SECOND, key(2), 7, object(now + MICROSECOND));
     assert!(cache.lookup(now + SECOND, key(2), LOOKUP).is_some());
     cache.insert(now + 20 * SECOND, key(3), 7, object(now - SECOND));
-    assert!(cache.lookup(now + 20 * SECOND, key(3), LOOKUP).is_some(), "by then no store has an invalid one");
+    assert!(
+        cache.lookup(now + 20 * SECOND, key(3), LOOKUP).is_some(),
+        "by then no store holds an invalid object"
+    );
 }
 
 #[test]
@@ -57,7 +60,8 @@
     assert!(!answers(&mut cache, now + 3 * SECOND + MICROSECOND));
 }
 
-/// The purge of a group removes the objects of the group and no others, also after some were removed or replaced.
+/// The purge of a group removes only objects that belong to it now, even if others were removed or moved to another
+/// group before.
 #[test]
 fn a_group_purge_follows_the_present_members_of_the_group() {
     let mut cache = cache();
