--- a/crates/hierarchy/src/change_log.rs
+++ b/crates/hierarchy/src/change_log.rs
@@ -89,8 +89,8 @@
         if epoch < self.oldest_epoch {
             return ChangeOutcome::EpochExpired;
         }
-        if let Some(known) = self.find(&id) {
-            return if *known == change { ChangeOutcome::Duplicate } else { ChangeOutcome::IdReused };
+        if let Some(retained) = self.find(&id) {
+            return if *retained == change { ChangeOutcome::Duplicate } else { ChangeOutcome::IdReused };
         }
         let is_future = epoch > self.epoch();
         if is_future && self.pending() >= MAX_PENDING_CHANGES || !self.insert(change) {
--- a/crates/hierarchy/src/migration.rs
+++ b/crates/hierarchy/src/migration.rs
@@ -18,7 +18,7 @@
 pub use settings::MigrationSettings;
 
 /// The least hold of previous parents in comparisons.
-const MIN_HOLD: Duration = Duration::from_micros(1);
+const MIN_PREVIOUS_HOLD: Duration = Duration::from_micros(1);
 
 /// Whether the steps of a migration go on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,11 +53,11 @@
 
 /// The parent of an object by weighted rendezvous hashing; parents without a positive weight are ignored.
 pub fn rendezvous<'a>(object: u64, weights: impl Iterator<Item = (&'a str, f64)>) -> Option<&'a str> {
-    let key = larchway::mix(object);
+    let object_hash = larchway::mix(object);
     let eligible = weights.filter(|(_, weight)| *weight > 0.0);
-    let places =
-        eligible.map(|(name, weight)| (larchway::rendezvous_rank(key, endpoint_id(name), weight), name));
-    places.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1))).map(|(_, name)| name)
+    let ranked = eligible
+        .map(|(name, weight)| (larchway::rendezvous_rank(object_hash, endpoint_id(name), weight), name));
+    ranked.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1))).map(|(_, name)| name)
 }
 
 impl Migration {
@@ -110,7 +110,7 @@
             return 0.0;
         }
         let elapsed = duration_micros(now.saturating_since(self.ends_at(now))) as f64;
-        let hold = duration_micros(self.settings.previous_hold.max(MIN_HOLD)) as f64;
+        let hold = duration_micros(self.settings.previous_hold.max(MIN_PREVIOUS_HOLD)) as f64;
         let steps = self.settings.step_count();
         1.0 - (elapsed / hold * steps).floor() / steps
     }
--- a/crates/hierarchy/src/migration/settings.rs
+++ b/crates/hierarchy/src/migration/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// The least length of a step, and of the time in which a parent warms up.
-const MIN_SPAN: Duration = Duration::from_micros(1);
+const MIN_DURATION: Duration = Duration::from_micros(1);
 
 /// Settings of [`super::Migration`].
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -40,7 +40,7 @@
 
     /// The time between two steps, at least a microsecond.
     pub(super) fn step_interval(&self) -> Duration {
-        self.step.max(MIN_SPAN)
+        self.step.max(MIN_DURATION)
     }
 
     /// The time that all steps take.
@@ -50,7 +50,7 @@
 
     /// Fraction of its weight that a parent can serve at this age of its process.
     pub(super) fn warm_up_share(&self, age: Duration) -> f64 {
-        let progress = duration_micros(age) as f64 / duration_micros(self.warm_up.max(MIN_SPAN)) as f64;
+        let progress = duration_micros(age) as f64 / duration_micros(self.warm_up.max(MIN_DURATION)) as f64;
         (self.initial_share + (1.0 - self.initial_share) * progress).min(1.0)
     }
 }
--- a/crates/hierarchy/src/origin_admission.rs
+++ b/crates/hierarchy/src/origin_admission.rs
@@ -144,15 +144,15 @@
     /// The decision on a fetch of an object, whichever hub it goes through; `None` if only the limits of the hub can
     /// reject it. Records nothing.
     pub fn refusal(&self, now: MonotonicTime, object: u64, joining: Joining) -> Option<AdmissionDecision> {
-        if let Some(known) = self.objects.get(object) {
-            let retry_at = known.failed_at.map(|failed_at| failed_at + self.settings.failure_hold);
+        if let Some(state) = self.objects.get(object) {
+            let retry_at = state.failed_at.map(|failed_at| failed_at + self.settings.failure_hold);
             if let Some(retry_at) = retry_at.filter(|retry_at| now < *retry_at) {
                 return Some(AdmissionDecision::RecentlyFailed(retry_at - now));
             }
-            if known.in_flight > 0 && joining == Joining::Allowed {
+            if state.in_flight > 0 && joining == Joining::Allowed {
                 return Some(AdmissionDecision::Join);
             }
-            let retry_at = known.started_at + self.settings.min_interval;
+            let retry_at = state.started_at + self.settings.min_interval;
             if now < retry_at {
                 return Some(AdmissionDecision::TooSoon(retry_at - now));
             }
@@ -174,7 +174,7 @@
         object: u64,
         joining: Joining,
     ) -> AdmissionDecision {
-        let refusal = self.refusal(now, object, joining).or_else(|| self.hub_refusal(hub));
+        let refusal = self.refusal(now, object, joining).or_else(|| self.hub_rejection(hub));
         if let Some(decision) = refusal {
             self.rejected += u64::from(decision != AdmissionDecision::Join);
             return decision;
@@ -185,7 +185,7 @@
     }
 
     /// The decision on a fetch through a hub that has its part of the limit in flight.
-    fn hub_refusal(&self, hub: &str) -> Option<AdmissionDecision> {
+    fn hub_rejection(&self, hub: &str) -> Option<AdmissionDecision> {
         let in_flight = self.in_flight.get(hub).copied().unwrap_or(0);
         (in_flight >= self.hub_limit(hub)).then(|| self.limit_reached())
     }
--- a/crates/hierarchy/src/origin_admission/object_table.rs
+++ b/crates/hierarchy/src/origin_admission/object_table.rs
@@ -19,13 +19,13 @@
     capacity: usize,
     objects: BTreeMap<u64, Object>,
     /// The objects in the order in which they were added.
-    order: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl ObjectTable {
     /// An empty table for this number of objects.
     pub(super) fn new(capacity: usize) -> Self {
-        ObjectTable { capacity: capacity.max(1), objects: BTreeMap::new(), order: VecDeque::new() }
+        ObjectTable { capacity: capacity.max(1), objects: BTreeMap::new(), insertion_order: VecDeque::new() }
     }
 
     /// The number of objects.
@@ -41,38 +41,38 @@
     /// Records that a fetch of an object starts.
     pub(super) fn fetch_started(&mut self, now: MonotonicTime, object: u64) {
         if !self.objects.contains_key(&object) {
-            self.order.push_back(object);
-            while self.order.len() > self.capacity {
+            self.insertion_order.push_back(object);
+            while self.insertion_order.len() > self.capacity {
                 self.evict_oldest();
             }
         }
-        let in_flight = self.objects.get(&object).map_or(0, |known| known.in_flight);
-        let known = Object { in_flight: in_flight + 1, started_at: now, failed_at: None };
-        self.objects.insert(object, known);
+        let in_flight = self.objects.get(&object).map_or(0, |state| state.in_flight);
+        let state = Object { in_flight: in_flight + 1, started_at: now, failed_at: None };
+        self.objects.insert(object, state);
     }
 
     /// Records that a fetch of an object has ended, at `failed_at` if the origin could not deliver it.
     pub(super) fn fetch_ended(&mut self, object: u64, failed_at: Option<MonotonicTime>) {
-        if let Some(known) = self.objects.get_mut(&object) {
-            known.in_flight = known.in_flight.saturating_sub(1);
-            known.failed_at = failed_at.or(known.failed_at);
+        if let Some(state) = self.objects.get_mut(&object) {
+            state.in_flight = state.in_flight.saturating_sub(1);
+            state.failed_at = failed_at.or(state.failed_at);
         }
     }
 
     /// Removes an object unless a fetch of it is in flight. Its place in the order stays, so that the table covers the
     /// last admitted fetches.
     pub(super) fn forget(&mut self, object: u64) {
-        if self.objects.get(&object).is_some_and(|known| known.in_flight == 0) {
+        if self.objects.get(&object).is_some_and(|state| state.in_flight == 0) {
             self.objects.remove(&object);
         }
     }
 
     /// Evicts the oldest object without a fetch in flight; one in flight would be fetched twice.
     fn evict_oldest(&mut self) {
-        for _ in 0..self.order.len() {
-            let Some(oldest) = self.order.pop_front() else { return };
-            if self.objects.get(&oldest).is_some_and(|known| known.in_flight > 0) {
-                self.order.push_back(oldest);
+        for _ in 0..self.insertion_order.len() {
+            let Some(oldest) = self.insertion_order.pop_front() else { return };
+            if self.objects.get(&oldest).is_some_and(|state| state.in_flight > 0) {
+                self.insertion_order.push_back(oldest);
             } else {
                 self.objects.remove(&oldest);
                 return;
--- a/crates/hierarchy/tests/histories/migration.rs
+++ b/crates/hierarchy/tests/histories/migration.rs
@@ -1,5 +1,5 @@
 //! Invariants H5 and H6.
-use crate::support::{fixed, name, MS, START};
+use crate::support::{fixed_seed_config, parent_name, MS, START};
 use larchway::{duration_micros, MonotonicTime};
 use larchway_hierarchy::migration::{rendezvous, Migration, MigrationSettings, MigrationState};
 use proptest::prelude::*;
@@ -9,90 +9,90 @@
 #[derive(Debug, Clone)]
 enum Step {
     Retarget(BTreeMap<String, f64>),
-    TurnRound,
+    RollBack,
     SetState(MigrationState),
-    Started(u8),
-    Pass(u32),
+    ParentStarted(u8),
+    AdvanceClock(u32),
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let weights = prop::collection::btree_map((0..6u8).prop_map(name), 0.5..8.0f64, 1..6);
+fn step_strategy() -> impl Strategy<Value = Step> {
+    let weights = prop::collection::btree_map((0..6u8).prop_map(parent_name), 0.5..8.0f64, 1..6);
     prop_oneof![
         3 => weights.prop_map(Step::Retarget),
-        1 => Just(Step::TurnRound),
+        1 => Just(Step::RollBack),
         1 => any::<bool>().prop_map(|paused| {
             Step::SetState(if paused { MigrationState::Paused } else { MigrationState::Running })
         }),
-        2 => (0..6u8).prop_map(Step::Started),
-        5 => (1..30_000u32).prop_map(Step::Pass),
+        2 => (0..6u8).prop_map(Step::ParentStarted),
+        5 => (1..30_000u32).prop_map(Step::AdvanceClock),
     ]
 }
 
 proptest! {
-    #![proptest_config(fixed(400))]
+    #![proptest_config(fixed_seed_config(400))]
 
     /// H5 and H6: an object has one home, at most two while it moves; a cold parent never weighs more than it can give;
     /// no step moves an object between parents whose weights did not change.
     #[test]
-    fn moves_go_in_steps_and_never_over_a_cold_parents_means(steps in prop::collection::vec(step(), 1..25)) {
-        let first: BTreeMap<String, f64> = [(name(0), 4.0), (name(1), 4.0)].into();
-        let terms = MigrationSettings::default();
-        let mut migration = Migration::new(START, terms, &first);
-        let (mut now, mut target, mut before_move) = (START, first.clone(), first);
+    fn weights_change_in_steps_and_never_exceed_what_a_parent_can_serve_in_slow_start(steps in prop::collection::vec(step_strategy(), 1..25)) {
+        let first: BTreeMap<String, f64> = [(parent_name(0), 4.0), (parent_name(1), 4.0)].into();
+        let settings = MigrationSettings::default();
+        let mut migration = Migration::new(START, settings, &first);
+        let (mut now, mut target, mut before_migration) = (START, first.clone(), first);
         let mut starts: BTreeMap<String, MonotonicTime> = BTreeMap::new();
         for step in steps {
-            let (old, was) = (migration.weights(now), now);
+            let (old_weights, old_now) = (migration.weights(now), now);
             match step {
                 Step::Retarget(weights) => {
                     if !migration.in_progress(now) {
-                        before_move = old.clone();
+                        before_migration = old_weights.clone();
                     }
                     migration.retarget(now, &weights);
                     target = weights;
                 }
-                Step::TurnRound => {
-                    target = before_move.clone();
+                Step::RollBack => {
+                    target = before_migration.clone();
                     if !migration.in_progress(now) {
-                        before_move = old.clone();
+                        before_migration = old_weights.clone();
                     }
                     migration.roll_back(now);
                 }
                 Step::SetState(state) => migration.set_state(now, state),
-                Step::Started(n) => {
-                    migration.parent_started(&name(n), now);
-                    starts.insert(name(n), now);
+                Step::ParentStarted(n) => {
+                    migration.parent_started(&parent_name(n), now);
+                    starts.insert(parent_name(n), now);
                 }
-                Step::Pass(ms) => now += ms * MS,
+                Step::AdvanceClock(milliseconds) => now += milliseconds * MS,
             }
             let weights = migration.weights(now);
-            for (n, weight) in &weights {
-                let size = target.get(n).copied().unwrap_or(0.0).max(old.get(n).copied().unwrap_or(0.0)).max(8.0);
-                if let Some(start) = starts.get(n) {
-                    let share = terms.initial_share
-                        + (1.0 - terms.initial_share) * duration_micros(now - *start) as f64 / duration_micros(terms.warm_up) as f64;
-                    prop_assert!(*weight <= size * share.min(1.0) + 1e-9, "H6: {} weighs {}", n, weight);
+            for (name, weight) in &weights {
+                let full_weight = target.get(name).copied().unwrap_or(0.0).max(old_weights.get(name).copied().unwrap_or(0.0)).max(8.0);
+                if let Some(started_at) = starts.get(name) {
+                    let share = settings.initial_share
+                        + (1.0 - settings.initial_share) * duration_micros(now - *started_at) as f64 / duration_micros(settings.warm_up) as f64;
+                    prop_assert!(*weight <= full_weight * share.min(1.0) + 1e-9, "H6: {} weighs {}", name, weight);
                 }
             }
-            if now == was {
+            if now == old_now {
                 // An order alone moves nothing but what a start takes away.
-                let grown = weights.iter().find(|(n, w)| **w > old.get(*n).copied().unwrap_or(0.0) + 1e-9);
-                prop_assert!(grown.is_none(), "H5: {:?} grew at once from {:?}", grown, old);
+                let increased = weights.iter().find(|(name, weight)| **weight > old_weights.get(*name).copied().unwrap_or(0.0) + 1e-9);
+                prop_assert!(increased.is_none(), "H5: {:?} grew at once from {:?}", increased, old_weights);
             }
             for object in 0..60u64 {
-                let home = migration.assigned_parents(now, object);
+                let assigned = migration.assigned_parents(now, object);
                 if weights.is_empty() {
-                    prop_assert!(home.is_none());
+                    prop_assert!(assigned.is_none());
                     continue;
                 }
-                let home = home.expect("a home");
-                prop_assert!(weights.contains_key(home.parent) && home.previous != Some(home.parent));
+                let assigned = assigned.expect("a home");
+                prop_assert!(weights.contains_key(assigned.parent) && assigned.previous != Some(assigned.parent));
                 // H5: it moved only to a parent that grew, or from one that shrank.
-                let held = rendezvous(object, old.iter().map(|(n, w)| (n.as_str(), *w)));
-                if let Some(held) = held.filter(|held| *held != home.parent) {
-                    let (from, to) = (weights.get(held).copied().unwrap_or(0.0), weights[home.parent]);
-                    let shrank = from < old[held] - 1e-12;
-                    let grew = to > old.get(home.parent).copied().unwrap_or(0.0) + 1e-12;
-                    prop_assert!(shrank || grew, "H5: {} moved from {} to {}", object, held, home.parent);
+                let old_parent = rendezvous(object, old_weights.iter().map(|(name, weight)| (name.as_str(), *weight)));
+                if let Some(old_parent) = old_parent.filter(|old_parent| *old_parent != assigned.parent) {
+                    let (from, to) = (weights.get(old_parent).copied().unwrap_or(0.0), weights[assigned.parent]);
+                    let decreased = from < old_weights[old_parent] - 1e-12;
+                    let increased = to > old_weights.get(assigned.parent).copied().unwrap_or(0.0) + 1e-12;
+                    prop_assert!(decreased || increased, "H5: {} moved from {} to {}", object, old_parent, assigned.parent);
                 }
             }
         }
@@ -101,6 +101,6 @@
         now += Duration::from_secs(200);
         prop_assert!(!migration.in_progress(now));
         prop_assert_eq!(migration.weights(now), target);
-        prop_assert!((0..60).all(|o| migration.assigned_parents(now, o).is_none_or(|h| h.previous.is_none())));
+        prop_assert!((0..60).all(|object| migration.assigned_parents(now, object).is_none_or(|assigned| assigned.previous.is_none())));
     }
 }
--- a/crates/hierarchy/tests/trace_text.rs
+++ b/crates/hierarchy/tests/trace_text.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_hop_is_appended_behind_a_comma_and_the_rest_stays_as_it_was() {
+fn a_hop_is_appended_after_a_comma_and_existing_hops_are_unchanged() {
     assert_eq!(append("", "edge-1", 7), "edge-1; epoch=7");
     assert_eq!(append(" other;x=\"a,b\" ", "edge-1", 8), "other;x=\"a,b\", edge-1; epoch=8");
 }
