--- a/crates/hierarchy/src/change_log.rs
+++ b/crates/hierarchy/src/change_log.rs
@@ -1,14 +1,14 @@
-//! Changes of the topology by numbered epochs. A change is a list of edits to the topology of one epoch and makes the
-//! next epoch. Replicas that received the same changes, in whatever order, have the same topology:
+//! Changes of the topology by numbered epochs. A change is a list of edits to the topology of one epoch and results in
+//! the next epoch. Replicas that received the same changes have the same topology, whatever the order of arrival:
 //!
 //! * A change that is based on a future epoch is pending until that epoch is reached.
-//! * Of several changes based on the same epoch, the one with the least id is applied and the others are superseded. If a
-//!   change with a lesser id arrives later, the epochs made since are rolled back and rebuilt.
+//! * Of several changes based on the same epoch, the one with the least id is applied and the others are superseded. If
+//!   a change with a lesser id arrives later, the later epochs are rolled back and rebuilt.
 //! * A change with an edit that the topology rejects is rejected as a unit, and the next by id is tried.
 //! * A change that arrives twice has no further effect; a different change with the same id is rejected.
 //!
-//! Changes based on an epoch that is no longer retained are rejected as expired. Only there could two replicas diverge,
-//! and their outcome says so.
+//! Changes based on an epoch that is no longer retained are rejected as expired. Two replicas can
+//! diverge only in this case, which the outcome `EpochExpired` reports.
 mod outcome;
 
 use crate::topology::{Edit, Topology};
@@ -29,11 +29,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// A unique id.
+    /// The unique id of the change.
     pub id: String,
-    /// The epoch that it is based on.
+    /// The epoch that the change is based on.
     pub upon: u64,
-    /// The edits, which are applied as a unit.
+    /// The edits, which are applied all or not at all.
     pub edits: Vec<Edit>,
 }
 
@@ -46,12 +46,12 @@
     topologies: Vec<Topology>,
     /// The changes by the epoch that they are based on, then by id.
     changes: BTreeMap<u64, BTreeMap<String, Change>>,
-    /// By epoch, the id of the change that was applied to it.
+    /// The ids of the applied changes by the epoch that they are based on.
     applied: BTreeMap<u64, String>,
 }
 
 impl ChangeLog {
-    /// Starts at an epoch with its topology.
+    /// Creates a log without changes, whose current epoch and topology are these.
     pub fn new(epoch: u64, topology: Topology) -> Self {
         ChangeLog {
             oldest_epoch: epoch,
@@ -77,12 +77,12 @@
         self.topologies.get(index)
     }
 
-    /// The number of changes that are not based on a past epoch.
+    /// The number of changes that are based on the current or a future epoch.
     pub fn pending(&self) -> usize {
         self.changes.range(self.epoch()..).map(|(_, changes)| changes.len()).sum()
     }
 
-    /// Submits a change.
+    /// Adds a change, applies every change that has become applicable, and returns the outcome of the submitted one.
     pub fn submit(&mut self, change: Change) -> ChangeOutcome {
         let epoch = change.upon;
         let id = change.id.clone();
@@ -107,12 +107,13 @@
         self.outcome(epoch, &id)
     }
 
-    /// The retained change with an id.
+    /// The retained change with this id.
     fn find(&self, id: &str) -> Option<&Change> {
         self.changes.values().find_map(|changes| changes.get(id))
     }
 
-    /// Inserts a change. Returns whether it is retained: the least ids decide, so the greatest is dropped.
+    /// Inserts a change and returns whether it is retained. Of too many changes based on one epoch, the one with the
+    /// greatest id is dropped, because the least id takes precedence.
     fn insert(&mut self, change: Change) -> bool {
         let competing = self.changes.entry(change.upon).or_default();
         if competing.len() >= MAX_CHANGES_PER_EPOCH {
@@ -125,14 +126,14 @@
         true
     }
 
-    /// Drops the topologies after an epoch.
+    /// Drops the topologies after an epoch and the records of the changes that made them.
     fn roll_back_to(&mut self, epoch: u64) {
         let index = usize::try_from(epoch - self.oldest_epoch).unwrap_or(0);
         self.topologies.truncate(index + 1);
         self.applied.retain(|applied_epoch, _| *applied_epoch < epoch);
     }
 
-    /// Applies changes to the current epoch until none fits.
+    /// Applies retained changes to the current epoch until the topology accepts none.
     fn apply_pending(&mut self) {
         while let Some((id, next)) = self.next_topology() {
             self.applied.insert(self.epoch(), id);
@@ -140,7 +141,7 @@
         }
     }
 
-    /// The first change by id that fits the current topology, and the topology that it makes.
+    /// The id of the first change, in order of ids, that the current topology accepts, and the resulting topology.
     fn next_topology(&self) -> Option<(String, Topology)> {
         let competing = self.changes.get(&self.epoch())?;
         competing.iter().find_map(|(id, change)| {
--- a/crates/hierarchy/src/change_log/outcome.rs
+++ b/crates/hierarchy/src/change_log/outcome.rs
@@ -5,17 +5,17 @@
 /// The outcome of a submitted change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// The change made this epoch.
+    /// The change was applied and resulted in this epoch.
     Applied(u64),
     /// The change waits for the epoch that it is based on.
     Pending,
-    /// The same change was submitted before.
+    /// The identical change was submitted before.
     Duplicate,
-    /// The change with this id was applied to the same epoch.
+    /// Another change, with this id, was applied to the same epoch.
     Superseded(String),
-    /// The topology rejects one of its edits.
+    /// The topology rejects an edit of the change.
     Rejected(RejectedEdit),
-    /// The epoch that it is based on is no longer retained.
+    /// The epoch that the change is based on is no longer retained.
     EpochExpired,
     /// A different change has the same id.
     IdReused,
@@ -23,7 +23,7 @@
     LimitReached,
 }
 
-/// Formats an outcome with the text that logs and the printed plan have for it.
+/// Formats an outcome as logs and the printed plan show it.
 impl fmt::Display for ChangeOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/hierarchy/src/loop_detection.rs
+++ b/crates/hierarchy/src/loop_detection.rs
@@ -1,6 +1,6 @@
-//! Detection of fill loops among parents. A wire that can carry it has a trace in the form of RFC 8586 (`CDN-Loop`):
-//! one name with parameters for each hop. Where a wire cannot carry a trace, [`LoopInference`] infers loops from the
-//! results of fills.
+//! Detection of fill loops among parents. Requests carry a trace in the form of RFC 8586 (`CDN-Loop`) if the protocol
+//! allows it: one name with parameters for each hop. Where it does not, [`LoopInference`] infers loops from the results
+//! of fills.
 mod inference;
 mod trace;
 
@@ -9,28 +9,29 @@
 pub use inference::{FillObservation, FillOutcome, LoopInference, LoopInferenceSettings, SuspicionChange};
 pub use trace::{append, parse, Hop, TraceError, MAX_TRACE_LENGTH};
 
-/// Largest number of hops that a request may have passed; more are reported as a loop.
+/// Largest number of hops that a request may have passed; more are reported as [`LoopCheck::TooManyHops`].
 pub const MAX_HOPS: usize = 16;
 
 /// The result of [`check`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoopCheck {
-    /// The request has not passed this node before, and no other node twice.
+    /// The request has not passed the checking node before, has passed no node twice, and has not passed too many hops.
     Clear,
-    /// The request has passed a node twice.
+    /// The request has passed a node twice, the checking node included.
     Loop {
-        /// The name of the node.
+        /// The name of the repeated node.
         name: String,
-        /// The epoch of the node at the first passage.
+        /// The epoch of the node's topology at the first passage, if the trace has it.
         first: Option<u64>,
-        /// The epoch of the node at the second passage.
+        /// The epoch of the node's topology at the second passage, if the trace has it.
         second: Option<u64>,
     },
-    /// The request has passed this number of hops, which is more than any path of the topology has.
+    /// The request has passed this number of hops, more than [`MAX_HOPS`] or than the longest path of the topology.
     TooManyHops(usize),
 }
 
-/// Checks the hops of a request at the node named `own`, whose topology is `depth` parents deep at this epoch.
+/// Checks the hops of a request that arrives at the node named `own`. The node's topology has this epoch, and its
+/// longest path to the origin has `depth` parents.
 pub fn check(hops: &[Hop], own: &str, epoch: u64, depth: usize) -> LoopCheck {
     for (index, hop) in hops.iter().enumerate() {
         if let Some(repeated) = hops[index + 1..].iter().find(|later| later.name == hop.name) {
@@ -47,8 +48,8 @@
     LoopCheck::Clear
 }
 
-/// The path of a fill from the parent `first` to the origin, where each parent follows the topology that
-/// `topology_of` returns for it. `None` if the path reaches a parent twice or a parent that its topology lacks.
+/// The path of a fill from the parent `first` to the origin, where each parent forwards it by the topology that
+/// `topology_of` returns for the parent. `None` if the path reaches a parent twice or a parent that its topology lacks.
 pub fn trace_fill<'a>(
     first: &'a str,
     topology_of: impl Fn(&str) -> Option<&'a Topology>,
--- a/crates/hierarchy/src/loop_detection/inference.rs
+++ b/crates/hierarchy/src/loop_detection/inference.rs
@@ -1,41 +1,41 @@
-//! Inference of loops from the results of fills, for wires that carry no trace.
+//! Inference of loops from the results of fills, for protocols that carry no trace.
 use larchway::MonotonicTime;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A fill that timed out counts as a sign of a loop if it took longer than the usual fill by this factor.
+/// A fill that timed out suggests a loop if it took longer than this multiple of the usual duration.
 const SLOW_FILL_FACTOR: u32 = 4;
-/// Lower bound of the duration of a usual fill in comparisons.
+/// Lower bound of the usual duration of a fill in comparisons.
 const MIN_FILL_DURATION: Duration = Duration::from_micros(1);
 
-/// How loops are inferred.
+/// Settings of [`LoopInference`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoopInferenceSettings {
-    /// The number of recent fills of a parent that are considered.
+    /// The number of recent fills through a parent that are evaluated.
     pub window: usize,
-    /// The fraction of them, from 0 to 1, that must suggest a loop.
+    /// The fraction of these fills, from 0 to 1, that must suggest a loop for the parent to be suspected.
     pub threshold: f64,
-    /// How long a suspected parent is excluded.
+    /// The time for which a suspected parent is excluded.
     pub exclusion: Duration,
 }
 
-/// How a fill has ended.
+/// The outcome of a fill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FillOutcome {
-    /// The source rejected the fill for want of capacity.
+    /// The source rejected the fill for lack of capacity.
     Rejected,
     /// The source was unreachable, closed the connection early or exceeded the deadline.
     TimedOut,
-    /// In another way, which suggests no loop.
+    /// The fill ended in another way, which does not suggest a loop.
     Other,
 }
 
-/// What the end of a fill showed.
+/// The outcome and duration of a fill.
 #[derive(Debug, Clone, Copy)]
 pub struct FillObservation {
-    /// How it ended.
+    /// The outcome of the fill.
     pub outcome: FillOutcome,
-    /// Duration of the fill.
+    /// The time from the start of the fill to its end.
     pub waited: Duration,
 }
 
@@ -49,19 +49,20 @@
     }
 }
 
-/// What a fill has changed about the suspicion of a parent.
+/// Whether the end of a fill made a parent suspected of being part of a loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspicionChange {
-    /// The parent has just become suspected.
+    /// The parent has become suspected with this fill.
     Begun,
-    /// Nothing: it is suspected as before, or is not.
+    /// The parent is still suspected, or still not suspected.
     Unchanged,
 }
 
 /// Infers from its recent fills whether a parent is part of a loop. In a loop, every fill of an object that no parent
-/// has cached waits until the first of them times out, and occupies capacity at each parent on its path. The sign is
-/// therefore a run of fills at one parent that time out or are rejected while other parents fill. A parent whose
-/// upstream is unreachable shows the same; both are answered by excluding the parent for a while.
+/// has cached waits until the first of them times out, and occupies capacity at each parent on its path. The sign of a
+/// loop is therefore a run of fills through one parent that time out or are rejected while fills through other parents
+/// succeed. A parent whose upstream is unreachable shows the same sign; in both cases the parent is excluded for a
+/// limited time.
 #[derive(Debug, Clone)]
 pub struct LoopInference {
     /// For each recent fill, whether it suggested a loop.
@@ -71,13 +72,13 @@
 }
 
 impl LoopInference {
-    /// Nothing has been observed yet.
+    /// Creates an inference without observations, whose parent is not suspected.
     pub fn new(settings: LoopInferenceSettings) -> Self {
         let settings = LoopInferenceSettings { window: settings.window.max(1), ..settings };
         LoopInference { recent: VecDeque::new(), settings, suspected_until: MonotonicTime::MIN }
     }
 
-    /// Records the end of a fill, where `usual` is the usual duration of one.
+    /// Records the end of a fill; `usual` is the usual duration of a fill.
     pub fn observe(&mut self, now: MonotonicTime, fill: FillObservation, usual: Duration) -> SuspicionChange {
         self.recent.push_back(fill.suggests_loop(usual));
         if self.recent.len() > self.settings.window {
@@ -97,7 +98,7 @@
         self.recent.len() == window && suggestive as f64 >= threshold * window as f64
     }
 
-    /// Whether the parent is to be excluded now.
+    /// Whether the parent is suspected now and therefore to be excluded.
     pub fn is_suspected(&self, now: MonotonicTime) -> bool {
         now < self.suspected_until
     }
--- a/crates/hierarchy/src/loop_detection/trace.rs
+++ b/crates/hierarchy/src/loop_detection/trace.rs
@@ -4,7 +4,7 @@
 
 /// Longest trace that is parsed, in bytes.
 pub const MAX_TRACE_LENGTH: usize = 2048;
-/// The parameter with the epoch of a hop.
+/// The name of the parameter that holds the epoch of a hop.
 const EPOCH_PARAMETER: &str = "epoch";
 
 /// One hop of a trace.
@@ -20,14 +20,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TraceError {
     /// The trace has this number of bytes, more than [`MAX_TRACE_LENGTH`].
-    #[error("it has {0} bytes, more than {MAX_TRACE_LENGTH}")]
+    #[error("trace has {0} bytes, more than {MAX_TRACE_LENGTH}")]
     TooLong(usize),
-    /// The byte at this offset does not fit the grammar of RFC 8586.
-    #[error("byte {0} does not fit RFC 8586")]
+    /// The byte at this offset does not conform to the grammar of RFC 8586.
+    #[error("byte {0} of the trace does not conform to RFC 8586")]
     InvalidByte(usize),
 }
 
-/// Parses a trace. Unknown parameters are ignored.
+/// Parses a trace. Unknown parameters and an epoch that is not a number are ignored.
 pub fn parse(text: &str) -> Result<Vec<Hop>, TraceError> {
     if text.len() > MAX_TRACE_LENGTH {
         return Err(TraceError::TooLong(text.len()));
@@ -129,7 +129,7 @@
 
     fn skip_quoted_string(&mut self) -> Result<(), TraceError> {
         while let Some(byte) = self.peek().filter(|byte| *byte != b'"') {
-            // A backslash quotes the byte behind it.
+            // A backslash escapes the next byte.
             self.offset += if byte == b'\\' { 2 } else { 1 };
         }
         if self.accept(b'"') {
--- a/crates/hierarchy/src/migration.rs
+++ b/crates/hierarchy/src/migration.rs
@@ -1,9 +1,9 @@
 //! Migration of objects between the parents of a branch in small steps. Objects are assigned to parents by weighted
 //! rendezvous hashing (Thaler and Ravishankar 1998; the weighted form of Schindelhauer and Schomaker 2005), so that a
-//! parent whose weight grows takes objects from the others and moves none among them. The weight of a parent that joins
-//! or grows rises in steps, and never above what the parent can serve while it warms up; that of a parent that leaves
-//! falls in steps. During a migration, and for a while after it, the previous parent of an object is asked whether it
-//! has the object cached.
+//! parent whose weight grows takes objects from the others and moves none among them. The weight of a parent that is
+//! added or gets more weight increases in steps, and never above what the parent can serve while it warms up; the
+//! weight of a parent that is removed decreases in steps. During a migration, and for a while after it, the previous
+//! parent of an object is asked whether it has the object cached.
 mod process_starts;
 mod settings;
 mod weight_ramp;
@@ -17,26 +17,26 @@
 
 pub use settings::MigrationSettings;
 
-/// The least hold of previous parents in comparisons.
+/// Lower bound of [`MigrationSettings::previous_hold`] as a divisor.
 const MIN_PREVIOUS_HOLD: Duration = Duration::from_micros(1);
 
-/// Whether the steps of a migration go on.
+/// Whether a migration is running or paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MigrationState {
-    /// They go on.
+    /// Weights change at each step.
     Running,
-    /// They are paused.
+    /// Weights stay at the last step.
     Paused,
 }
 
-/// The weights of the parents of one branch, in a migration or at rest.
+/// The weights of the parents of one branch, during and between migrations.
 #[derive(Debug, Clone)]
 pub struct Migration {
     settings: MigrationSettings,
     ramps: BTreeMap<String, WeightRamp>,
     /// The weights before the migration.
     previous: BTreeMap<String, f64>,
-    /// When the target was last changed, if it ever was.
+    /// When the target weights were last set; `None` if no migration has started.
     retargeted_at: Option<MonotonicTime>,
     state: MigrationState,
     starts: ProcessStarts,
@@ -47,7 +47,7 @@
 pub struct AssignedParents<'a> {
     /// The parent that fetches the object.
     pub parent: &'a str,
-    /// The parent that did before, if it may still have the object cached.
+    /// The parent that fetched the object before the migration, if it may still have the object cached.
     pub previous: Option<&'a str>,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Migration {
-    /// No migration, with these weights.
+    /// Creates the state without a migration, with these weights of the parents.
     pub fn new(now: MonotonicTime, settings: MigrationSettings, weights: &BTreeMap<String, f64>) -> Self {
         let constant = |(name, weight): (&String, &f64)| (name.clone(), WeightRamp::constant(now, *weight));
         Migration {
@@ -78,33 +78,35 @@
         ramp.progress(&self.settings, now, self.state)
     }
 
-    /// Fraction of its weight that a parent can serve now.
+    /// The fraction of its weight, up to 1, that a parent can serve now.
     fn warm_up_share(&self, now: MonotonicTime, name: &str) -> f64 {
         let share = |started_at| self.settings.warm_up_share(now.saturating_since(started_at));
         self.starts.get(name).map_or(1.0, share)
     }
 
-    /// The weight of a parent now: its step of the migration, limited by what it can serve.
+    /// The weight of a parent at the current step of the migration, limited to what the parent can serve while it
+    /// warms up; 0 if the branch does not have the parent.
     pub fn weight(&self, now: MonotonicTime, name: &str) -> f64 {
         let Some(ramp) = self.ramps.get(name) else { return 0.0 };
         let capacity = ramp.to.max(ramp.from) * self.warm_up_share(now, name);
         ramp.weight(self.progress(now, ramp)).min(capacity)
     }
 
-    /// All positive weights now.
+    /// The current weights of the parents, without those that are 0.
     pub fn weights(&self, now: MonotonicTime) -> BTreeMap<String, f64> {
         let all = self.ramps.keys().map(|name| (name.clone(), self.weight(now, name)));
         all.filter(|(_, weight)| *weight > 0.0).collect()
     }
 
-    /// The weights before the migration, as long as previous parents are asked.
+    /// The weights before the migration; `None` if previous parents are not asked (any longer).
     pub fn previous_weights(&self, now: MonotonicTime) -> Option<&BTreeMap<String, f64>> {
         self.retargeted_at?;
         (now < self.ends_at(now) + self.settings.previous_hold).then_some(&self.previous)
     }
 
-    /// Fraction of the objects whose previous parent is asked: all during the migration, then fewer at each step. If all
-    /// were dropped at once, the new parents would fetch at once everything that the previous ones still have cached.
+    /// Fraction of the objects whose previous parent is asked: all during the migration, then fewer at each step. If
+    /// all stopped at once, the new parents would fetch everything that the previous ones still have cached at the same
+    /// time.
     pub fn previous_share(&self, now: MonotonicTime) -> f64 {
         if self.previous_weights(now).is_none() {
             return 0.0;
@@ -115,7 +117,7 @@
         1.0 - (elapsed / hold * steps).floor() / steps
     }
 
-    /// When the migration ends or has ended, if it is not paused any longer.
+    /// When the migration ends or has ended; if it is paused, when it would end if resumed now.
     pub fn ends_at(&self, now: MonotonicTime) -> MonotonicTime {
         let ends = self.ramps.iter().map(|(name, ramp)| {
             let last_step = ramp.ends_at(&self.settings, now, self.state);
@@ -124,7 +126,8 @@
         ends.max().unwrap_or(now)
     }
 
-    /// When a parent that stays has warmed up; [`MonotonicTime::MIN`] if it is not warming up.
+    /// When a parent with a positive target weight has warmed up; [`MonotonicTime::MIN`] if the parent is not warming
+    /// up.
     fn warmed_up_at(&self, name: &str, ramp: &WeightRamp) -> MonotonicTime {
         if ramp.to <= 0.0 || self.settings.initial_share >= 1.0 {
             return MonotonicTime::MIN;
@@ -138,7 +141,7 @@
         self.ramps.values().any(changes) || now < self.ends_at(now)
     }
 
-    /// Starts a migration from the weights of now to these, in place of the current migration if there is one.
+    /// Starts a migration from the current weights to these, in place of the current migration if there is one.
     pub fn retarget(&mut self, now: MonotonicTime, weights: &BTreeMap<String, f64>) {
         if !self.in_progress(now) {
             self.previous = self.weights(now);
@@ -173,12 +176,12 @@
         self.state = state;
     }
 
-    /// Records that the process of a parent has started; of several starts the latest counts.
+    /// Records that the process of a parent has started; if several starts are recorded, the latest is used.
     pub fn parent_started(&mut self, name: &str, at: MonotonicTime) {
         self.starts.record(name, at, self.settings.warm_up);
     }
 
-    /// When a weight changes next without any further call.
+    /// When weights may change next; `None` if no migration is in progress or it is paused.
     pub fn next_due(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         if !self.in_progress(now) || self.state == MigrationState::Paused {
             return None;
@@ -194,7 +197,7 @@
         Some(AssignedParents { parent, previous })
     }
 
-    /// The parent of an object before the migration, if it is asked.
+    /// The parent of an object before the migration, if it is still asked for this object.
     fn previous_parent(&self, now: MonotonicTime, object: u64) -> Option<&str> {
         if larchway::unit(larchway::mix(object) ^ 1) > self.previous_share(now) {
             return None;
--- a/crates/hierarchy/src/migration/process_starts.rs
+++ b/crates/hierarchy/src/migration/process_starts.rs
@@ -4,21 +4,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Start times of parents that may be warming up, also of parents that do not serve the branch (yet). At most
-/// [`MAX_PARENTS`]; the oldest is dropped.
+/// Start times of parents that may be warming up, including parents that do not serve the branch (yet). Holds at most
+/// [`MAX_PARENTS`] start times; the oldest is dropped.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ProcessStarts {
     started_at: BTreeMap<String, MonotonicTime>,
 }
 
 impl ProcessStarts {
-    /// When a parent started; `None` if it is not known to be warming up.
+    /// When the process of a parent started; `None` if no recent start is recorded.
     pub(super) fn get(&self, name: &str) -> Option<MonotonicTime> {
         self.started_at.get(name).copied().filter(|started_at| *started_at > MonotonicTime::MIN)
     }
 
-    /// Records a start and drops those that are older by `warm_up`. Of several starts of one parent the
-    /// latest counts.
+    /// Records a start and drops those that are older by `warm_up` or more. If several starts of one parent are
+    /// recorded, the latest is used.
     pub(super) fn record(&mut self, name: &str, at: MonotonicTime, warm_up: Duration) {
         self.started_at.retain(|_, started_at| *started_at + warm_up > at);
         if self.started_at.len() >= MAX_PARENTS && !self.started_at.contains_key(name) {
--- a/crates/hierarchy/src/migration/settings.rs
+++ b/crates/hierarchy/src/migration/settings.rs
@@ -2,7 +2,7 @@
 use larchway::duration_micros;
 use std::time::Duration;
 
-/// The least length of a step, and of the time in which a parent warms up.
+/// Lower bound of the duration of a step and, as a divisor, of the warm-up time.
 const MIN_DURATION: Duration = Duration::from_micros(1);
 
 /// Settings of [`super::Migration`].
@@ -14,9 +14,9 @@
     pub step: Duration,
     /// Fraction of its weight that a parent can serve when it has just started.
     pub initial_share: f64,
-    /// The time in which that fraction grows linearly to 1.
+    /// The time in which the fraction that a parent can serve grows linearly from `initial_share` to 1.
     pub warm_up: Duration,
-    /// How long after a migration previous parents are still asked for cached objects.
+    /// The time after a migration for which previous parents are still asked for cached objects.
     pub previous_hold: Duration,
 }
 
@@ -48,7 +48,7 @@
         self.step_interval() * self.steps.max(1)
     }
 
-    /// Fraction of its weight that a parent can serve at this age of its process.
+    /// The fraction of its weight that a parent can serve when its process has run for `age`.
     pub(super) fn warm_up_share(&self, age: Duration) -> f64 {
         let progress = duration_micros(age) as f64 / duration_micros(self.warm_up.max(MIN_DURATION)) as f64;
         (self.initial_share + (1.0 - self.initial_share) * progress).min(1.0)
--- a/crates/hierarchy/src/migration/weight_ramp.rs
+++ b/crates/hierarchy/src/migration/weight_ramp.rs
@@ -3,10 +3,10 @@
 use larchway::{duration_micros, MonotonicTime};
 use std::time::Duration;
 
-/// Keeps a step that is due from being missed by rounding.
+/// Added to the number of complete steps before rounding down, so that rounding errors do not delay a step that is due.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The change of the weight of one parent.
+/// The change of the weight of one parent from one value to another.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct WeightRamp {
     /// The weight at the start.
@@ -31,12 +31,12 @@
         WeightRamp { from, to, done, resumed_at: now }
     }
 
-    /// The same ramp, resumed now with this fraction done.
+    /// Returns the ramp as resumed at `now` with this fraction done.
     pub(super) fn resumed(self, now: MonotonicTime, done: f64) -> Self {
         WeightRamp { done, resumed_at: now, ..self }
     }
 
-    /// The fraction that is done after `elapsed`, in complete steps.
+    /// The fraction that is done when `elapsed` has passed since the last start or resumption, in complete steps.
     fn done_after(&self, settings: &MigrationSettings, elapsed: Duration) -> f64 {
         let done = self.done + duration_micros(elapsed) as f64 / duration_micros(settings.duration()) as f64;
         let steps = settings.step_count();
@@ -66,7 +66,7 @@
         }
     }
 
-    /// When the last step is due, if the ramp is not paused any longer than until now.
+    /// When the last step is due; if the ramp is paused, when it would be due if resumed now.
     pub(super) fn ends_at(
         &self,
         settings: &MigrationSettings,
--- a/crates/hierarchy/src/origin_admission.rs
+++ b/crates/hierarchy/src/origin_admission.rs
@@ -1,11 +1,12 @@
-//! Admission of fetches from the origin: limits on the concurrent fetches of each hub and of all, on how often one object
-//! is fetched, and on objects that the origin recently failed to deliver. Writes count towards the limit and are never
+//! Admission of fetches from the origin: limits on concurrent fetches in total and by hub, on how often one object is
+//! fetched, and on objects that the origin recently failed to deliver. Writes count towards the limit and are never
 //! rejected.
 //!
 //! The limit adapts to the origin. Vegas and gradient limiters (Netflix concurrency-limits) follow latency alone and
-//! drift upwards with an origin that slows down for all; AIMD on rejections alone reacts too late to an origin that
-//! stops. Implemented is AIMD whose signs of overload are a rejection, a failure, or a latency over a multiple of the
-//! recent minimum. It decreases at most once within one latency, so that one burst counts as one sign.
+//! drift upwards with an origin that slows down for all requests; AIMD on rejections alone reacts too late to an
+//! origin that stops responding. The limiter is therefore AIMD whose signs of overload are a rejection, a failure, or a
+//! latency over a multiple of the recent minimum. It decreases at most once within the latency of a fetch, so that a
+//! burst of failures counts as one sign.
 mod minimum_latency;
 mod object_table;
 mod settings;
@@ -18,14 +19,14 @@
 
 pub use settings::AdmissionSettings;
 
-/// The usual latency as long as none has been measured.
+/// The wait at a reached limit as long as no latency has been measured.
 const ASSUMED_LATENCY: Duration = Duration::from_millis(100);
 /// Lower bound of the usual latency in comparisons and of the wait at a reached limit.
 const MIN_LATENCY: Duration = Duration::from_millis(1);
-/// The least time for which the limit is not decreased again.
+/// The least time between two decreases of the limit.
 const MIN_DECREASE_INTERVAL: Duration = Duration::from_micros(1);
 
-/// Whether a fetch is admitted.
+/// The decision on a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// The fetch may start; its end must be reported by [`OriginAdmission::fetch_ended`].
@@ -34,7 +35,7 @@
     Join,
     /// The limit is reached: retry after this wait.
     LimitReached(Duration),
-    /// The object was fetched a moment ago: retry after this wait.
+    /// The last fetch of the object started less than the minimum interval ago: retry after this wait.
     TooSoon(Duration),
     /// The origin recently failed to deliver the object: retry after this wait.
     RecentlyFailed(Duration),
@@ -43,13 +44,13 @@
 /// Whether a fetch may join one of the same object that is in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Joining {
-    /// It may.
+    /// The fetch may join.
     Allowed,
-    /// It may not.
+    /// The fetch may not join.
     Forbidden,
 }
 
-/// How an admitted fetch ended.
+/// The outcome of an admitted fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FetchEnd {
     /// The origin delivered the object.
@@ -60,7 +61,7 @@
     Failed,
     /// The gateway cancelled the fetch, which says nothing about the origin.
     Cancelled,
-    /// A cache or a parent had the object, so the origin was not asked. The object is forgotten.
+    /// A cache or a parent had the object, so the origin was not asked. The object is removed from the table.
     OriginNotAsked,
 }
 
@@ -77,14 +78,14 @@
     latency: MinimumLatency,
     /// When the limit was last decreased.
     decreased_at: MonotonicTime,
-    /// Gateways that share the origin.
+    /// The number of live gateways, at least 1.
     gateways: u64,
     /// Fetches rejected since the start.
     pub rejected: u64,
 }
 
 impl OriginAdmission {
-    /// The initial state of one of `gateways` gateways.
+    /// The initial state of a gateway that shares the origin with others, `gateways` in total.
     pub fn new(settings: AdmissionSettings, gateways: u64) -> Self {
         OriginAdmission {
             limit: (settings.initial_limit / gateways.max(1) as f64).max(1.0),
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Sets the number of live gateways; each has an equal part of the limits.
+    /// Sets the number of live gateways; the limits are divided equally among them.
     pub fn set_gateway_count(&mut self, gateways: u64) {
         let gateways = gateways.max(1);
         self.limit = (self.limit * self.gateways as f64 / gateways as f64).max(1.0);
@@ -121,7 +122,7 @@
         self.in_flight.values().sum()
     }
 
-    /// The number of objects remembered.
+    /// The number of objects whose last fetch is remembered.
     pub fn remembered(&self) -> usize {
         self.objects.len()
     }
@@ -141,8 +142,8 @@
         self.writes = self.writes.saturating_sub(1);
     }
 
-    /// The decision on a fetch of an object, whichever hub it goes through; `None` if only the limits of the hub can
-    /// reject it. Records nothing.
+    /// The decision on a fetch of an object where it does not depend on the hub: a rejection, or joining. `None` if
+    /// only the limit of the hub can reject the fetch. Records nothing.
     pub fn refusal(&self, now: MonotonicTime, object: u64, joining: Joining) -> Option<AdmissionDecision> {
         if let Some(state) = self.objects.get(object) {
             let retry_at = state.failed_at.map(|failed_at| failed_at + self.settings.failure_hold);
@@ -157,7 +158,7 @@
                 return Some(AdmissionDecision::TooSoon(retry_at - now));
             }
         }
-        // Writes take precedence: fetches have what they leave of the limit.
+        // Writes take precedence: fetches may use the part of the limit that writes do not.
         let limit_reached = self.in_flight() + self.writes >= self.limit();
         limit_reached.then(|| self.limit_reached())
     }
@@ -184,13 +185,14 @@
         AdmissionDecision::Admit
     }
 
-    /// The decision on a fetch through a hub that has its part of the limit in flight.
+    /// Rejects a fetch through a hub that has reached its limit.
     fn hub_rejection(&self, hub: &str) -> Option<AdmissionDecision> {
         let in_flight = self.in_flight.get(hub).copied().unwrap_or(0);
         (in_flight >= self.hub_limit(hub)).then(|| self.limit_reached())
     }
 
-    /// A hub that fetches alone may use the limit; others beside it have a part reserved.
+    /// The limit of concurrent fetches through a hub: the whole limit if no other hub has fetches in flight, otherwise
+    /// the fraction `hub_share`, so that part of the limit stays available to the other hubs.
     fn hub_limit(&self, hub: &str) -> u32 {
         let limit = self.limit();
         let others_fetch = self.in_flight.iter().any(|(name, fetches)| name != hub && *fetches > 0);
@@ -222,7 +224,8 @@
                 if self.is_slow(latency) {
                     self.decrease(now, latency);
                 } else if limit_used {
-                    // A limit of which less than half is in use has not been shown to be low enough.
+                    // If less than half of the limit is in use, a normal latency does not show that the limit is low
+                    // enough.
                     self.increase();
                 }
                 self.latency.record(now, latency);
--- a/crates/hierarchy/src/origin_admission/minimum_latency.rs
+++ b/crates/hierarchy/src/origin_admission/minimum_latency.rs
@@ -1,15 +1,15 @@
-//! The least latency of the recent past.
+//! The minimum latency of the recent past.
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// The least latency measured in one window.
+/// The minimum latency measured in one window.
 #[derive(Debug, Clone, Copy)]
 struct Window {
     least: Duration,
     started_at: MonotonicTime,
 }
 
-/// The least latency over the current window and the one before it, so that it covers one to two windows.
+/// The minimum latency over the current window and the one before it, so that it covers one to two windows.
 #[derive(Debug, Clone)]
 pub(super) struct MinimumLatency {
     length: Duration,
@@ -18,13 +18,13 @@
 }
 
 impl MinimumLatency {
-    /// Nothing has been measured; windows have this length.
+    /// Creates a minimum without measurements, with windows of this length.
     pub(super) fn new(length: Duration) -> Self {
         let empty = Window { least: Duration::MAX, started_at: MonotonicTime::MIN };
         MinimumLatency { length, current: empty, previous: empty }
     }
 
-    /// The least latency, if any has been measured.
+    /// The minimum latency, if any has been measured.
     pub(super) fn get(&self) -> Option<Duration> {
         let least = self.current.least.min(self.previous.least);
         (least < Duration::MAX).then_some(least)
--- a/crates/hierarchy/src/origin_admission/object_table.rs
+++ b/crates/hierarchy/src/origin_admission/object_table.rs
@@ -2,18 +2,18 @@
 use larchway::MonotonicTime;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What is known of one object.
+/// The fetches of one object.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Object {
     /// Fetches in flight.
     pub(super) in_flight: u32,
     /// When the last fetch started.
     pub(super) started_at: MonotonicTime,
-    /// When the origin last failed to deliver it, if no fetch has started since.
+    /// When the origin last failed to deliver the object, if no fetch has started since.
     pub(super) failed_at: Option<MonotonicTime>,
 }
 
-/// A bounded table of objects.
+/// A bounded table of the objects that were fetched last.
 #[derive(Debug, Clone)]
 pub(super) struct ObjectTable {
     capacity: usize,
@@ -23,7 +23,7 @@
 }
 
 impl ObjectTable {
-    /// An empty table for this number of objects.
+    /// Creates an empty table for this number of objects, at least 1.
     pub(super) fn new(capacity: usize) -> Self {
         ObjectTable { capacity: capacity.max(1), objects: BTreeMap::new(), insertion_order: VecDeque::new() }
     }
@@ -33,7 +33,7 @@
         self.objects.len()
     }
 
-    /// An object, if it is known.
+    /// The fetches of an object, if the table has it.
     pub(super) fn get(&self, object: u64) -> Option<&Object> {
         self.objects.get(&object)
     }
@@ -59,15 +59,15 @@
         }
     }
 
-    /// Removes an object unless a fetch of it is in flight. Its place in the order stays, so that the table covers the
-    /// last admitted fetches.
+    /// Removes an object unless a fetch of it is in flight. Its entry in the insertion order stays, so that the table
+    /// covers the last admitted fetches.
     pub(super) fn forget(&mut self, object: u64) {
         if self.objects.get(&object).is_some_and(|state| state.in_flight == 0) {
             self.objects.remove(&object);
         }
     }
 
-    /// Evicts the oldest object without a fetch in flight; one in flight would be fetched twice.
+    /// Evicts the oldest object without a fetch in flight. An evicted object in flight would be fetched a second time.
     fn evict_oldest(&mut self) {
         for _ in 0..self.insertion_order.len() {
             let Some(oldest) = self.insertion_order.pop_front() else { return };
--- a/crates/hierarchy/src/origin_admission/settings.rs
+++ b/crates/hierarchy/src/origin_admission/settings.rs
@@ -1,28 +1,28 @@
-//! Settings of the admission of fetches.
+//! Settings of the admission of fetches from the origin.
 use std::time::Duration;
 
-/// Settings of [`super::OriginAdmission`]. Limits are those of all gateways together.
+/// Settings of [`super::OriginAdmission`]. The limits apply to all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Concurrent fetches that are admitted at the start.
+    /// Initial limit of concurrent fetches.
     pub initial_limit: f64,
-    /// Lower bound of the limit.
+    /// Lower bound of the limit of concurrent fetches.
     pub min_limit: f64,
-    /// Upper bound of the limit.
+    /// Upper bound of the limit of concurrent fetches.
     pub max_limit: f64,
-    /// Factor of a decrease of the limit.
+    /// Factor by which the limit is multiplied at a sign of overload.
     pub decrease_factor: f64,
-    /// A reply slower than the usual latency by this factor is a sign of overload.
+    /// A reply slower than the usual latency times this factor is a sign of overload.
     pub slow_factor: f64,
-    /// How long a measured latency counts towards the usual one.
+    /// Length of a window of the usual latency, which is the minimum over the current window and the one before.
     pub latency_window: Duration,
-    /// Fraction of the limit that one hub may use while others fetch too.
+    /// Fraction of the limit that one hub may use while other hubs have fetches in flight.
     pub hub_share: f64,
     /// The least time between two fetches of one object that cannot be joined.
     pub min_interval: Duration,
-    /// How long an object that the origin could not deliver is not fetched again.
+    /// The time for which an object that the origin could not deliver is not fetched again.
     pub failure_hold: Duration,
-    /// Largest number of objects remembered; the oldest is evicted.
+    /// Largest number of objects whose last fetch is remembered; the oldest is evicted.
     pub max_objects: usize,
 }
 
--- a/crates/hierarchy/src/topology.rs
+++ b/crates/hierarchy/src/topology.rs
@@ -1,6 +1,6 @@
-//! The topology of the cache hierarchy: parents, the hub and upstream of each, and the branches behind which they stand.
-//! A topology is always valid: every branch has a path to the origin, no parent fetches from itself by any path, and all
-//! names that are used exist.
+//! The topology of the cache hierarchy: parents, the hub and upstream of each, and the branches that they serve. A
+//! topology is always valid: every branch has a path to the origin, no parent fetches from itself by any path, and
+//! every parent that a branch or an upstream names exists.
 mod edit;
 mod edit_error;
 
@@ -19,13 +19,13 @@
 /// Largest number of parents on a path to the origin.
 pub const MAX_CHAIN_LENGTH: usize = 8;
 
-/// What a parent fetches from.
+/// The upstream from which a parent fetches.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Upstream {
     /// The origin.
     Origin,
-    /// Another parent.
+    /// The parent with this name.
     Parent(String),
 }
 
@@ -33,15 +33,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Parent {
-    /// The hub that it is located in.
+    /// The hub in which the parent is located.
     pub hub: String,
-    /// Its capacity in concurrent transfers at full speed. Its quota of the objects is proportional to it.
+    /// The capacity of the parent in concurrent transfers at full speed. The parent's quota of the objects is
+    /// proportional to it.
     pub weight: f64,
-    /// What it fetches from.
+    /// The upstream from which the parent fetches.
     pub upstream: Upstream,
 }
 
-/// A valid topology. Copies share their common parts (`imbl`).
+/// A valid topology. Clones share their unchanged parts (`imbl`).
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Topology {
     parents: OrdMap<String, Parent>,
@@ -59,7 +60,7 @@
         &self.branches
     }
 
-    /// The parents that a fill passes after the named one, in their order. The last one fetches from the origin.
+    /// The parents that a fill passes after the named one, in order. The last one fetches from the origin.
     pub fn upstream_path(&self, name: &str) -> Vec<&str> {
         let mut path = Vec::new();
         let mut current = name;
--- a/crates/hierarchy/src/topology/edit.rs
+++ b/crates/hierarchy/src/topology/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of a topology, as operator files and change records have them.
+//! Edits of a topology, in the format of operator files and change records.
 use super::{Parent, Upstream};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
     AddParent {
         /// The name of the parent.
         name: String,
-        /// The parent.
+        /// The hub, weight and upstream of the parent.
         parent: Parent,
     },
     /// Removes a parent. No branch may lose its last parent, and no parent may fetch from it.
@@ -37,14 +37,14 @@
     },
     /// Sets the parents of a branch.
     SetBranch {
-        /// The branch.
+        /// The name of the branch.
         branch: String,
-        /// The new parents.
+        /// The names of the new parents, at least one.
         parents: BTreeSet<String>,
     },
     /// Removes a branch.
     RemoveBranch {
-        /// The branch.
+        /// The name of the branch.
         branch: String,
     },
 }
--- a/crates/hierarchy/src/topology/edit_error.rs
+++ b/crates/hierarchy/src/topology/edit_error.rs
@@ -1,4 +1,4 @@
-//! Why a topology rejects an edit.
+//! Errors of edits that a topology rejects.
 use super::{MAX_BRANCHES, MAX_CHAIN_LENGTH, MAX_PARENTS};
 use thiserror::Error;
 
@@ -12,16 +12,16 @@
     #[error("there is no branch {0:?}")]
     UnknownBranch(String),
     /// The parent to be added exists already.
-    #[error("there is a parent {0:?} already")]
+    #[error("parent {0:?} already exists")]
     DuplicateParent(String),
     /// The weight of this parent is not a positive finite number.
-    #[error("the weight of {0:?} is not a number above 0")]
+    #[error("the weight of {0:?} is not a positive finite number")]
     InvalidWeight(String),
-    /// This branch would have no parent.
+    /// The edit would leave this branch without a parent.
     #[error("the branch {0:?} would have no parent")]
     BranchWithoutParent(String),
     /// Another parent fetches from the parent to be removed.
-    #[error("{by:?} fetches from {parent:?}")]
+    #[error("{by:?} still fetches from {parent:?}")]
     ParentInUse {
         /// The parent to be removed.
         parent: String,
@@ -32,10 +32,10 @@
     #[error("a cycle: {}", .0.join(" -> "))]
     Cycle(Vec<String>),
     /// The chain from this parent to the origin would exceed [`MAX_CHAIN_LENGTH`].
-    #[error("more than {MAX_CHAIN_LENGTH} parents stand between {0:?} and the origin")]
+    #[error("the path from {0:?} to the origin has more than {MAX_CHAIN_LENGTH} parents")]
     ChainTooLong(String),
     /// The topology would exceed [`MAX_PARENTS`] or [`MAX_BRANCHES`].
-    #[error("over {MAX_PARENTS} parents or {MAX_BRANCHES} branches")]
+    #[error("more than {MAX_PARENTS} parents or {MAX_BRANCHES} branches")]
     LimitReached,
 }
 
--- a/crates/hierarchy/tests/histories/topology.rs
+++ b/crates/hierarchy/tests/histories/topology.rs
@@ -1,4 +1,4 @@
-//! Invariants H1 and H2.
+//! Tests of invariants H1 and H2.
 use crate::support::{
     add_parent, assert_valid, base_topology, edit_strategy, fixed_seed_config, parent_name,
 };
@@ -10,7 +10,7 @@
 proptest! {
     #![proptest_config(fixed_seed_config(400))]
 
-    /// H1 and H2: a shape that stands is sound, and edits that are refused leave it as it was.
+    /// H1 and H2: a topology stays valid, and rejected edits leave it unchanged.
     #[test]
     fn a_topology_stays_valid_under_any_edits(edit_lists in prop::collection::vec(prop::collection::vec(edit_strategy(), 1..5), 1..20)) {
         let mut topology = base_topology();
@@ -21,7 +21,7 @@
                 Err(RejectedEdit { index, .. }) => {
                     prop_assert!(index < edits.len());
                     prop_assert_eq!(&topology, &before);
-                    // The named edit is the first that does not fit.
+                    // The reported edit is the first that is rejected.
                     prop_assert!(topology.apply(&edits[..index]).is_ok());
                 }
             }
--- a/crates/hierarchy/tests/trace_text.rs
+++ b/crates/hierarchy/tests/trace_text.rs
@@ -1,4 +1,4 @@
-//! The text of a trace on the wire (RFC 8586).
+//! Tests of the text form of a trace on the wire (RFC 8586).
 use larchway_hierarchy::loop_detection::{append, parse, Hop, TraceError, MAX_TRACE_LENGTH};
 
 fn hop(name: &str, epoch: Option<u64>) -> Hop {
