--- a/crates/hierarchy/src/loop_detection.rs
+++ b/crates/hierarchy/src/loop_detection.rs
@@ -30,16 +30,16 @@
     TooManyHops(usize),
 }
 
-/// Checks the hops of a request that arrives at the node named `own`. The node's topology has this epoch, and its
+/// Checks the hops of a request that arrives at the node named `own_name`. The node's topology has this epoch, and its
 /// longest path to the origin has `depth` parents.
-pub fn check(hops: &[Hop], own: &str, epoch: u64, depth: usize) -> LoopCheck {
+pub fn check(hops: &[Hop], own_name: &str, epoch: u64, depth: usize) -> LoopCheck {
     for (index, hop) in hops.iter().enumerate() {
         if let Some(repeated) = hops[index + 1..].iter().find(|later| later.name == hop.name) {
             return LoopCheck::Loop { name: hop.name.clone(), first: hop.epoch, second: repeated.epoch };
         }
     }
-    if let Some(first) = hops.iter().find(|hop| hop.name == own) {
-        return LoopCheck::Loop { name: own.to_string(), first: first.epoch, second: Some(epoch) };
+    if let Some(first) = hops.iter().find(|hop| hop.name == own_name) {
+        return LoopCheck::Loop { name: own_name.to_string(), first: first.epoch, second: Some(epoch) };
     }
     // A gateway before the first parent adds one hop to the depth of the topology.
     if hops.len() > (depth + 1).min(MAX_HOPS) {
@@ -48,13 +48,13 @@
     LoopCheck::Clear
 }
 
-/// The path of a fill from the parent `first` to the origin, where each parent forwards it by the topology that
+/// The path of a fill from the parent `first_parent` to the origin, where each parent forwards it by the topology that
 /// `topology_of` returns for the parent. `None` if the path reaches a parent twice or a parent that its topology lacks.
 pub fn trace_fill<'a>(
-    first: &'a str,
+    first_parent: &'a str,
     topology_of: impl Fn(&str) -> Option<&'a Topology>,
 ) -> Option<Vec<&'a str>> {
-    let mut path = vec![first];
+    let mut path = vec![first_parent];
     loop {
         let current = path[path.len() - 1];
         let parent = topology_of(current)?.parents().get(current)?;
--- a/crates/hierarchy/src/migration.rs
+++ b/crates/hierarchy/src/migration.rs
@@ -119,11 +119,11 @@
 
     /// When the migration ends or has ended; if it is paused, when it would end if resumed now.
     pub fn ends_at(&self, now: MonotonicTime) -> MonotonicTime {
-        let ends = self.ramps.iter().map(|(name, ramp)| {
+        let end_times = self.ramps.iter().map(|(name, ramp)| {
             let last_step = ramp.ends_at(&self.settings, now, self.state);
             last_step.max(self.warmed_up_at(name, ramp))
         });
-        ends.max().unwrap_or(now)
+        end_times.max().unwrap_or(now)
     }
 
     /// When a parent with a positive target weight has warmed up; [`MonotonicTime::MIN`] if the parent is not warming
--- a/crates/hierarchy/src/origin_admission.rs
+++ b/crates/hierarchy/src/origin_admission.rs
@@ -144,7 +144,12 @@
 
     /// The decision on a fetch of an object where it does not depend on the hub: a rejection, or joining. `None` if
     /// only the limit of the hub can reject the fetch. Records nothing.
-    pub fn refusal(&self, now: MonotonicTime, object: u64, joining: Joining) -> Option<AdmissionDecision> {
+    pub fn decision_before_hub_limit(
+        &self,
+        now: MonotonicTime,
+        object: u64,
+        joining: Joining,
+    ) -> Option<AdmissionDecision> {
         if let Some(state) = self.objects.get(object) {
             let retry_at = state.failed_at.map(|failed_at| failed_at + self.settings.failure_hold);
             if let Some(retry_at) = retry_at.filter(|retry_at| now < *retry_at) {
@@ -175,8 +180,9 @@
         object: u64,
         joining: Joining,
     ) -> AdmissionDecision {
-        let refusal = self.refusal(now, object, joining).or_else(|| self.hub_rejection(hub));
-        if let Some(decision) = refusal {
+        let early_decision =
+            self.decision_before_hub_limit(now, object, joining).or_else(|| self.hub_rejection(hub));
+        if let Some(decision) = early_decision {
             self.rejected += u64::from(decision != AdmissionDecision::Join);
             return decision;
         }
@@ -243,9 +249,9 @@
     }
 
     fn is_slow(&self, latency: Duration) -> bool {
-        let slow =
+        let slow_latency =
             |usual: Duration| duration_micros(usual.max(MIN_LATENCY)) as f64 * self.settings.slow_factor;
-        self.usual_latency().is_some_and(|usual| duration_micros(latency) as f64 > slow(usual))
+        self.usual_latency().is_some_and(|usual| duration_micros(latency) as f64 > slow_latency(usual))
     }
 
     fn increase(&mut self) {
--- a/crates/hierarchy/tests/histories/migration.rs
+++ b/crates/hierarchy/tests/histories/migration.rs
@@ -36,10 +36,10 @@
     /// parents whose weights did not change.
     #[test]
     fn weights_change_in_steps_and_never_exceed_what_a_parent_can_serve_in_slow_start(steps in prop::collection::vec(step_strategy(), 1..25)) {
-        let first: BTreeMap<String, f64> = [(parent_name(0), 4.0), (parent_name(1), 4.0)].into();
+        let initial_weights: BTreeMap<String, f64> = [(parent_name(0), 4.0), (parent_name(1), 4.0)].into();
         let settings = MigrationSettings::default();
-        let mut migration = Migration::new(START, settings, &first);
-        let (mut now, mut target, mut before_migration) = (START, first.clone(), first);
+        let mut migration = Migration::new(START, settings, &initial_weights);
+        let (mut now, mut target, mut before_migration) = (START, initial_weights.clone(), initial_weights);
         let mut starts: BTreeMap<String, MonotonicTime> = BTreeMap::new();
         for step in steps {
             let (old_weights, old_now) = (migration.weights(now), now);
--- a/crates/hierarchy/tests/histories/topology.rs
+++ b/crates/hierarchy/tests/histories/topology.rs
@@ -32,21 +32,33 @@
 
 #[test]
 fn a_rejected_edit_is_reported_with_its_index_and_reason() {
-    let through = |number| Upstream::Parent(parent_name(number));
-    let set = |number, upstream| Edit::SetUpstream { name: parent_name(number), upstream };
-    let branch = |parents: &[u8]| Edit::SetBranch {
+    let parent_upstream = |number| Upstream::Parent(parent_name(number));
+    let set_upstream = |number, upstream| Edit::SetUpstream { name: parent_name(number), upstream };
+    let set_branch = |parents: &[u8]| Edit::SetBranch {
         branch: "b9".into(),
         parents: parents.iter().map(|number| parent_name(*number)).collect::<BTreeSet<_>>(),
     };
     let cycle = EditError::Cycle(vec![parent_name(0), parent_name(2), parent_name(1), parent_name(0)]);
     let cases = [
-        (vec![set(1, through(0)), set(2, through(1)), set(0, through(2))], 2, cycle),
-        (vec![set(1, through(1))], 0, EditError::Cycle(vec![parent_name(1), parent_name(1)])),
-        (vec![set(1, through(7))], 0, EditError::UnknownParent(parent_name(7))),
-        (vec![branch(&[])], 0, EditError::BranchWithoutParent("b9".into())),
-        (vec![branch(&[0, 7])], 0, EditError::UnknownParent(parent_name(7))),
         (
-            vec![set(1, through(0)), Edit::RemoveParent { name: parent_name(0) }],
+            vec![
+                set_upstream(1, parent_upstream(0)),
+                set_upstream(2, parent_upstream(1)),
+                set_upstream(0, parent_upstream(2)),
+            ],
+            2,
+            cycle,
+        ),
+        (
+            vec![set_upstream(1, parent_upstream(1))],
+            0,
+            EditError::Cycle(vec![parent_name(1), parent_name(1)]),
+        ),
+        (vec![set_upstream(1, parent_upstream(7))], 0, EditError::UnknownParent(parent_name(7))),
+        (vec![set_branch(&[])], 0, EditError::BranchWithoutParent("b9".into())),
+        (vec![set_branch(&[0, 7])], 0, EditError::UnknownParent(parent_name(7))),
+        (
+            vec![set_upstream(1, parent_upstream(0)), Edit::RemoveParent { name: parent_name(0) }],
             1,
             EditError::ParentInUse { parent: parent_name(0), by: parent_name(1) },
         ),
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -150,7 +150,7 @@
     fn shield_would_refuse(&self, now: MonotonicTime, request: &Request) -> bool {
         let refuses = |shield: &OriginAdmission| {
             !matches!(
-                shield.refusal(now, part_key(request), Joining::Allowed),
+                shield.decision_before_hub_limit(now, part_key(request), Joining::Allowed),
                 None | Some(AdmissionDecision::Join)
             )
         };
