--- a/crates/zookeeper/src/jute.rs
+++ b/crates/zookeeper/src/jute.rs
@@ -16,7 +16,7 @@
     }
 
     /// How many bytes are left.
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.0.len()
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Nothing may be left.
-    pub fn end(&self) -> Result<(), ProtocolError> {
+    pub fn expect_end(&self) -> Result<(), ProtocolError> {
         if self.0.is_empty() {
             Ok(())
         } else {
--- a/crates/zookeeper/src/proto.rs
+++ b/crates/zookeeper/src/proto.rs
@@ -7,4 +7,4 @@
 pub use codes::{Code, EventKind, Mode, Op, WatchMode, AUTH_XID, EVENT_XID, PING_XID, WATCHES_XID};
 pub use records::{Acl, Connect, Connected, Stat};
 pub use request::{Credential, ReceivedRequest, Request, Watch};
-pub use response::{event, head, Event, Reply, ReplyHead, Response};
+pub use response::{read_event, read_reply_head, Event, Reply, ReplyHead, Response};
--- a/crates/zookeeper/src/proto/records.rs
+++ b/crates/zookeeper/src/proto/records.rs
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Connect {
     /// The last zxid seen: a server that lags behind it refuses the session.
-    pub seen: i64,
+    pub last_zxid_seen: i64,
     /// Requested time-out, in ms.
     pub timeout: i32,
     /// The session to resume; 0: a new one.
@@ -99,26 +99,31 @@
     pub fn read(frame: &[u8]) -> Result<Self, ProtocolError> {
         let mut r = Reader::new(frame);
         let _version = r.int("protocolVersion")?;
-        let (seen, timeout) = (r.long("lastZxidSeen")?, r.int("timeOut")?);
+        let (last_zxid_seen, timeout) = (r.long("lastZxidSeen")?, r.int("timeOut")?);
         let (session, password) = (r.long("sessionId")?, r.buffer("passwd")?);
         let password = password.unwrap_or_default().to_vec();
         read_only(&mut r)?;
-        Ok(Connect { seen, timeout, session, password })
+        Ok(Connect { last_zxid_seen, timeout, session, password })
     }
     /// As a frame.
     pub fn framed(&self) -> Vec<u8> {
         let mut w = Writer::default();
-        w.int(0).long(self.seen).int(self.timeout).long(self.session).buffer(&self.password).flag(false);
+        w.int(0)
+            .long(self.last_zxid_seen)
+            .int(self.timeout)
+            .long(self.session)
+            .buffer(&self.password)
+            .flag(false);
         w.framed()
     }
 }
 
 /// Releases before 3.4 leave the last field out.
 fn read_only(r: &mut Reader<'_>) -> Result<(), ProtocolError> {
-    if r.left() > 0 {
+    if r.remaining() > 0 {
         r.flag("readOnly")?;
     }
-    r.end()
+    r.expect_end()
 }
 
 /// The answer to [`Connect`].
--- a/crates/zookeeper/src/proto/request.rs
+++ b/crates/zookeeper/src/proto/request.rs
@@ -78,11 +78,11 @@
     /// Set watches again.
     SetWatches {
         /// The last zxid seen: later changes are reported at once.
-        seen: i64,
+        last_zxid_seen: i64,
         /// On data, existence, children.
-        once: [Vec<String>; 3],
+        one_time: [Vec<String>; 3],
         /// Persistent ones, plain and recursive; without them, the older form is written.
-        lasting: Option<[Vec<String>; 2]>,
+        persistent: Option<[Vec<String>; 2]>,
     },
     /// Set a persistent watch.
     AddWatch(String, WatchMode),
@@ -120,7 +120,7 @@
             Request::Sync(_) => Op::Sync,
             Request::Check(..) => Op::Check,
             Request::Multi(_) => Op::Multi,
-            Request::SetWatches { lasting: None, .. } => Op::SetWatches,
+            Request::SetWatches { persistent: None, .. } => Op::SetWatches,
             Request::SetWatches { .. } => Op::SetWatches2,
             Request::AddWatch(..) => Op::AddWatch,
             Request::Auth(..) => Op::Auth,
@@ -186,9 +186,9 @@
                 }
                 w.int(-1).flag(true).int(-1);
             }
-            Request::SetWatches { seen, once, lasting } => {
-                w.long(*seen);
-                for paths in once.iter().chain(lasting.iter().flatten()) {
+            Request::SetWatches { last_zxid_seen, one_time, persistent } => {
+                w.long(*last_zxid_seen);
+                for paths in one_time.iter().chain(persistent.iter().flatten()) {
                     w.vector(paths, |w, p| {
                         w.text(p);
                     });
@@ -209,7 +209,7 @@
         let mut r = Reader::new(frame);
         let (xid, op) = (r.int("xid")?, Op::read(r.int("type")?)?);
         let request = Request::body(op, &mut r)?;
-        r.end()?;
+        r.expect_end()?;
         Ok(ReceivedRequest { xid, request })
     }
 
@@ -242,10 +242,10 @@
             Op::SetAcl => Request::SetAcl(path(r)?, rights(r)?, r.int("version")?),
             Op::Multi => Request::read_multi(r)?,
             Op::SetWatches | Op::SetWatches2 => {
-                let seen = r.long("relativeZxid")?;
-                let once = [paths(r)?, paths(r)?, paths(r)?];
-                let lasting = if op == Op::SetWatches2 { Some([paths(r)?, paths(r)?]) } else { None };
-                Request::SetWatches { seen, once, lasting }
+                let last_zxid_seen = r.long("relativeZxid")?;
+                let one_time = [paths(r)?, paths(r)?, paths(r)?];
+                let persistent = if op == Op::SetWatches2 { Some([paths(r)?, paths(r)?]) } else { None };
+                Request::SetWatches { last_zxid_seen, one_time, persistent }
             }
             Op::AddWatch => Request::AddWatch(path(r)?, WatchMode::read(r.int("mode")?)?),
             Op::Auth => {
--- a/crates/zookeeper/src/proto/response.rs
+++ b/crates/zookeeper/src/proto/response.rs
@@ -88,7 +88,7 @@
     /// The response to this operation.
     pub fn read(op: Op, r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
         let response = Response::body(op, r)?;
-        r.end()?;
+        r.expect_end()?;
         Ok(response)
     }
 
@@ -151,18 +151,18 @@
     pub error: Option<Code>,
 }
 
-/// Reads the head of a frame that a server sent. The rest is read by [`Response::read`] or [`event`].
-pub fn head(r: &mut Reader<'_>) -> Result<ReplyHead, ProtocolError> {
+/// Reads the head of a frame that a server sent. The rest is read by [`Response::read`] or [`read_event`].
+pub fn read_reply_head(r: &mut Reader<'_>) -> Result<ReplyHead, ProtocolError> {
     let (xid, zxid, error) = (r.int("xid")?, r.long("zxid")?, r.int("err")?);
     let error = if error == 0 { None } else { Some(Code::read(error)?) };
     Ok(ReplyHead { xid, zxid, error })
 }
 
 /// Reads an event behind its head.
-pub fn event(r: &mut Reader<'_>) -> Result<Event, ProtocolError> {
+pub fn read_event(r: &mut Reader<'_>) -> Result<Event, ProtocolError> {
     let kind = EventKind::read(r.int("type")?)?;
     let event = Event { kind, state: r.int("state")?, path: r.text("path")?.into() };
-    r.end()?;
+    r.expect_end()?;
     Ok(event)
 }
 
--- a/crates/zookeeper/src/session.rs
+++ b/crates/zookeeper/src/session.rs
@@ -211,8 +211,12 @@
 
     fn handshake_request(&self) -> Vec<u8> {
         let timeout = i32::try_from(self.config.timeout.as_millis()).unwrap_or(i32::MAX);
-        let connect =
-            Connect { seen: self.last_zxid, timeout, session: self.id, password: self.password.clone() };
+        let connect = Connect {
+            last_zxid_seen: self.last_zxid,
+            timeout,
+            session: self.id,
+            password: self.password.clone(),
+        };
         connect.framed()
     }
 
--- a/crates/zookeeper/src/session/replies.rs
+++ b/crates/zookeeper/src/session/replies.rs
@@ -59,7 +59,7 @@
 
     fn read_reply(&mut self, content: &[u8], out: &mut Vec<Output>) -> Result<(), ProtocolError> {
         let mut r = Reader::new(content);
-        let ReplyHead { xid, zxid, error } = proto::head(&mut r)?;
+        let ReplyHead { xid, zxid, error } = proto::read_reply_head(&mut r)?;
         if zxid > 0 && xid != proto::EVENT_XID {
             if zxid < self.last_zxid {
                 return Err(ProtocolError::StaleServer { zxid, last_zxid: self.last_zxid });
@@ -68,7 +68,7 @@
         }
         match xid {
             proto::EVENT_XID => {
-                let event = proto::event(&mut r)?;
+                let event = proto::read_event(&mut r)?;
                 out.push(Output::WatchEvent(event));
             }
             proto::PING_XID => {
--- a/crates/zookeeper/tests/records.rs
+++ b/crates/zookeeper/tests/records.rs
@@ -70,10 +70,10 @@
         1 => path().prop_map(Request::Sync),
         1 => (path(), acl(), any::<i32>()).prop_map(|(p, a, v)| Request::SetAcl(p, a, v)),
         1 => (any::<i64>(), paths(), paths(), paths(), prop::option::of((paths(), paths()))).prop_map(
-            |(seen, a, b, c, lasting)| Request::SetWatches {
-                seen,
-                once: [a, b, c],
-                lasting: lasting.map(|(p, r)| [p, r]),
+            |(last_zxid_seen, a, b, c, persistent)| Request::SetWatches {
+                last_zxid_seen,
+                one_time: [a, b, c],
+                persistent: persistent.map(|(p, r)| [p, r]),
             }
         ),
         1 => (path(), any::<bool>()).prop_map(|(p, r)| {
@@ -133,7 +133,7 @@
         let bytes = Reply { xid, zxid, body: Ok(response.clone()) }.framed();
         let Frame { content, .. } = frame(&bytes).expect("a frame").expect("a complete one");
         let mut r = Reader::new(content);
-        prop_assert_eq!(head(&mut r), Ok(ReplyHead { xid, zxid, error: None }));
+        prop_assert_eq!(read_reply_head(&mut r), Ok(ReplyHead { xid, zxid, error: None }));
         prop_assert_eq!(Response::read(op, &mut r), Ok(response));
         for end in 16..content.len() {
             prop_assert!(Response::read(op, &mut Reader::new(&content[16..end])).is_err(), "cut at {}", end);
@@ -141,8 +141,8 @@
     }
 
     #[test]
-    fn greetings_are_read_as_they_were_written(seen in any::<i64>(), timeout in any::<i32>(), session in any::<i64>(), password in data()) {
-        let connect = Connect { seen, timeout, session, password: password.clone() };
+    fn greetings_are_read_as_they_were_written(last_zxid_seen in any::<i64>(), timeout in any::<i32>(), session in any::<i64>(), password in data()) {
+        let connect = Connect { last_zxid_seen, timeout, session, password: password.clone() };
         let bytes = connect.framed();
         prop_assert_eq!(Connect::read(&bytes[4..]), Ok(connect.clone()));
         prop_assert_eq!(Connect::read(&bytes[4..bytes.len() - 1]), Ok(connect), "without the last field, as before 3.4");
@@ -159,7 +159,7 @@
         for op in [Op::Create2, Op::GetData, Op::GetAcl, Op::GetChildren2, Op::Multi, Op::Exists] {
             let _ = Response::read(op, &mut Reader::new(&bytes));
         }
-        let _ = event(&mut Reader::new(&bytes));
+        let _ = read_event(&mut Reader::new(&bytes));
     }
 }
 
--- a/crates/zookeeper/tests/wire_format.rs
+++ b/crates/zookeeper/tests/wire_format.rs
@@ -25,9 +25,9 @@
     Request::Create { path: "/a".into(), data: b"d".to_vec(), acl: Acl::open(), mode, stat }
 }
 
-fn set_watches(lasting: Option<[Vec<String>; 2]>) -> Request {
-    let once = [vec!["/d".into()], vec!["/e".into()], vec!["/c".into()]];
-    Request::SetWatches { seen: 3, once, lasting }
+fn set_watches(persistent: Option<[Vec<String>; 2]>) -> Request {
+    let one_time = [vec!["/d".into()], vec!["/e".into()], vec!["/c".into()]];
+    Request::SetWatches { last_zxid_seen: 3, one_time, persistent }
 }
 
 fn requests() -> Vec<Request> {
@@ -84,7 +84,7 @@
 
 #[test]
 fn handshake_and_events_have_the_bytes_of_the_protocol() {
-    let connect = Connect { seen: 5, timeout: 3000, session: 9, password: vec![1; 2] };
+    let connect = Connect { last_zxid_seen: 5, timeout: 3000, session: 9, password: vec![1; 2] };
     let connected = Connected { timeout: 3000, session: 9, password: vec![1; 2] };
     let event = Event { kind: EventKind::ChildrenChanged, state: 3, path: "/a".into() };
     let written = [hex(&connect.framed()), hex(&connected.framed()), hex(&event.framed())];
--- a/lab/src/stand/ensemble/connection.rs
+++ b/lab/src/stand/ensemble/connection.rs
@@ -108,7 +108,7 @@
         let Some(client) = self.connections.get_mut(&connection) else { return };
         client.handshake_done = true;
         // As the published server does: a client that has seen more than this server knows must go elsewhere.
-        if connect.seen > self.servers[client.server].applied {
+        if connect.last_zxid_seen > self.servers[client.server].applied {
             return self.close(connection);
         }
         let granted = self.grant_session(now, connect);
--- a/lab/src/stand/ensemble/requests.rs
+++ b/lab/src/stand/ensemble/requests.rs
@@ -43,7 +43,9 @@
             | Request::GetChildren(..)
             | Request::GetChildren2(..)
             | Request::GetAcl(_) => self.read(connection, &request),
-            Request::AddWatch(..) | Request::SetWatches { lasting: Some(_), .. } if !supports_persistent => {
+            Request::AddWatch(..) | Request::SetWatches { persistent: Some(_), .. }
+                if !supports_persistent =>
+            {
                 Err(Code::Unimplemented)
             }
             Request::AddWatch(path, mode) => {
@@ -52,8 +54,8 @@
                 }
                 Ok(Response::Done)
             }
-            Request::SetWatches { seen, once, lasting } => {
-                let watches = RestoredWatches { last_seen: seen, one_time: once, persistent: lasting };
+            Request::SetWatches { last_zxid_seen, one_time, persistent } => {
+                let watches = RestoredWatches { last_seen: last_zxid_seen, one_time, persistent };
                 self.restore_watches(connection, watches);
                 Ok(Response::Done)
             }
