--- a/crates/zookeeper/src/client.rs
+++ b/crates/zookeeper/src/client.rs
@@ -43,14 +43,14 @@
     watches: Vec<ChildrenWatch>,
     /// Requests in flight, by token; at most the session's window.
     in_flight: BTreeMap<u64, PendingRequest>,
-    token: u64,
+    last_token: u64,
     sync_interval: Duration,
     /// When the server is to catch up next; none while a `sync` is in flight, or if the server does not support it.
     sync_due: Option<MonotonicTime>,
     /// When the last `sync` was sent.
     sync_requested_at: MonotonicTime,
     /// Requests that wait for a place in the window, at most the parts of the own path and a handful a watch.
-    waiting: VecDeque<(PendingRequest, Request)>,
+    request_queue: VecDeque<(PendingRequest, Request)>,
     acl: Vec<Acl>,
 }
 
@@ -74,11 +74,11 @@
                 .map(|path| ChildrenWatch { path, ..ChildrenWatch::default() })
                 .collect(),
             in_flight: BTreeMap::new(),
-            token: 0,
+            last_token: 0,
             sync_interval: config.sync_interval,
             sync_due: None,
             sync_requested_at: MonotonicTime::MIN,
-            waiting: VecDeque::new(),
+            request_queue: VecDeque::new(),
             acl,
         }
     }
@@ -106,16 +106,16 @@
             Input::Tick => session::Input::Tick,
             Input::Connected => session::Input::Connected,
             Input::Bytes(bytes) => session::Input::Bytes(bytes),
-            Input::ConnectionLost(why) => session::Input::ConnectionLost(why),
+            Input::ConnectionLost(reason) => session::Input::ConnectionLost(reason),
             Input::Close => session::Input::Close,
             Input::Data(data) => {
-                self.set_data(data);
+                self.set_own_data(data);
                 return self.send_queued(now, out);
             }
         };
         self.session.handle(now, input, &mut outputs);
         for output in outputs {
-            self.session_output(now, output, out);
+            self.handle_session_output(now, output, out);
         }
         if self.session.is_established() && self.sync_due.is_some_and(|due| due <= now) {
             self.request_sync();
@@ -123,39 +123,39 @@
         self.send_queued(now, out);
     }
 
-    fn session_output(&mut self, now: MonotonicTime, output: session::Output, out: &mut Vec<Output>) {
-        use session::Output as S;
+    fn handle_session_output(&mut self, now: MonotonicTime, output: session::Output, out: &mut Vec<Output>) {
+        use session::Output as SessionOutput;
         let event = |event| Output::Event(event);
         match output {
-            S::Connect(server) => out.push(Output::Connect(server)),
-            S::Write(bytes) => out.push(Output::Write(bytes)),
-            S::Disconnect(why) => out.push(Output::Disconnect(why)),
-            S::Established { session, fresh, timeout } => {
+            SessionOutput::Connect(server) => out.push(Output::Connect(server)),
+            SessionOutput::Write(bytes) => out.push(Output::Write(bytes)),
+            SessionOutput::Disconnect(reason) => out.push(Output::Disconnect(reason)),
+            SessionOutput::Established { session, fresh, timeout } => {
                 out.push(event(ClientEvent::SessionEstablished { session, fresh, timeout }));
                 self.start_requests(fresh);
             }
-            S::Suspended(why) => {
+            SessionOutput::Suspended(reason) => {
                 self.discard_requests();
-                out.push(event(ClientEvent::Suspended(why)));
+                out.push(event(ClientEvent::Suspended(reason)));
             }
-            S::Expired => {
+            SessionOutput::Expired => {
                 self.registered = false;
                 out.push(event(ClientEvent::Expired));
             }
-            S::StateRolledBack => out.push(event(ClientEvent::StateRolledBack)),
-            S::CredentialsRejected => {
+            SessionOutput::StateRolledBack => out.push(event(ClientEvent::StateRolledBack)),
+            SessionOutput::CredentialsRejected => {
                 out.push(event(ClientEvent::Rejected("credentials".into(), Code::AuthFailed)));
             }
-            S::Closed => out.push(event(ClientEvent::Closed)),
-            S::WatchEvent(watch_event) => self.watch_event(&watch_event, out),
-            S::Response { token, zxid, body } => {
+            SessionOutput::Closed => out.push(event(ClientEvent::Closed)),
+            SessionOutput::WatchEvent(watch_event) => self.handle_watch_event(&watch_event, out),
+            SessionOutput::Response { token, zxid, body } => {
                 if let Some(pending) = self.in_flight.remove(&token) {
                     let response = ReceivedResponse { token, zxid, body };
-                    self.response(now, pending, response, out);
+                    self.handle_response(now, pending, response, out);
                 }
             }
             // The next connection asks again for all that is wanted.
-            S::Dropped(token) | S::Busy(token) => drop(self.in_flight.remove(&token)),
+            SessionOutput::Dropped(token) | SessionOutput::Busy(token) => drop(self.in_flight.remove(&token)),
         }
     }
 }
--- a/crates/zookeeper/src/client/children_watch.rs
+++ b/crates/zookeeper/src/client/children_watch.rs
@@ -13,7 +13,7 @@
     /// Reported children, at most [`MAX_CHILDREN`].
     pub(super) children: BTreeSet<String>,
     /// Children to be read, each once.
-    pub(super) queue: VecDeque<String>,
+    pub(super) read_queue: VecDeque<String>,
     pub(super) queued: BTreeSet<String>,
     /// Children being read.
     pub(super) reading: BTreeMap<String, u64>,
@@ -29,47 +29,47 @@
 impl ChildrenWatch {
     /// Discards all reads: no more responses arrive on this connection.
     pub(super) fn discard_requests(&mut self) {
-        self.queue.clear();
+        self.read_queue.clear();
         self.queued.clear();
         self.reading.clear();
         (self.list_zxid, self.listing, self.list_again) = (None, false, false);
     }
 
     /// Whether no child is being read, or is to be.
-    pub(super) fn idle(&self) -> bool {
-        self.queue.is_empty() && self.reading.is_empty()
+    pub(super) fn has_no_reads(&self) -> bool {
+        self.read_queue.is_empty() && self.reading.is_empty()
     }
 
-    pub(super) fn enqueue(&mut self, name: &str) {
+    pub(super) fn enqueue_read(&mut self, name: &str) {
         if self.queued.insert(name.to_string()) {
-            self.queue.push_back(name.to_string());
+            self.read_queue.push_back(name.to_string());
         }
     }
 
     /// The name of the child that this path is, if it is one.
-    pub(super) fn child<'a>(&self, path: &'a str) -> Option<&'a str> {
-        let below = path.strip_prefix(&self.path)?.strip_prefix('/')?;
-        (!below.is_empty() && !below.contains('/')).then_some(below)
+    pub(super) fn child_name<'a>(&self, path: &'a str) -> Option<&'a str> {
+        let relative_path = path.strip_prefix(&self.path)?.strip_prefix('/')?;
+        (!relative_path.is_empty() && !relative_path.contains('/')).then_some(relative_path)
     }
 
     /// Whether everything the server reported of this watch has been read.
     pub(super) fn is_current(&self) -> bool {
-        !self.listing && self.list_zxid.is_none() && !self.reread_all && self.idle()
+        !self.listing && self.list_zxid.is_none() && !self.reread_all && self.has_no_reads()
     }
 
     /// Adds a child to the cache; false if there are too many.
-    pub(super) fn admit(&mut self, name: &str) -> bool {
-        let admitted = self.children.len() < MAX_CHILDREN || self.children.contains(name);
-        if admitted {
+    pub(super) fn try_insert(&mut self, name: &str) -> bool {
+        let inserted = self.children.len() < MAX_CHILDREN || self.children.contains(name);
+        if inserted {
             self.children.insert(name.to_string());
         }
-        admitted
+        inserted
     }
 
     /// Removes a child and its reads; whether it was cached.
     pub(super) fn remove(&mut self, name: &str) -> bool {
         if self.queued.remove(name) {
-            self.queue.retain(|queued| queued != name);
+            self.read_queue.retain(|queued| queued != name);
         }
         self.reading.remove(name);
         self.children.remove(name)
--- a/crates/zookeeper/src/client/responses.rs
+++ b/crates/zookeeper/src/client/responses.rs
@@ -18,7 +18,7 @@
 
 impl Client {
     /// Handles the response to a request in flight.
-    pub(super) fn response(
+    pub(super) fn handle_response(
         &mut self,
         now: MonotonicTime,
         pending: PendingRequest,
@@ -27,33 +27,37 @@
     ) {
         let ReceivedResponse { token, zxid, body } = response;
         match pending {
-            PendingRequest::CreateParent(path) => parent_created(path, body, out),
-            PendingRequest::Register => self.registration_response(body, out),
-            PendingRequest::CheckOwnNode => self.own_node_checked(body, out),
+            PendingRequest::CreateParent(path) => handle_parent_created(path, body, out),
+            PendingRequest::Register => self.handle_registration_response(body, out),
+            PendingRequest::CheckOwnNode => self.handle_own_node_check(body, out),
             PendingRequest::SetOwnData => {
                 if let Err(code) = body {
-                    self.own_node_rejected(code, out);
+                    self.report_own_node_rejection(code, out);
                 }
             }
             // A server that does not support sync gets no further one on this connection.
             PendingRequest::Sync => {
                 if body.is_ok() {
-                    self.synced(now, out);
+                    self.report_synced(now, out);
                 }
             }
-            PendingRequest::AddWatch(at) => self.watch_added(at, body, out),
-            PendingRequest::ListChildren(at) => self.list_response(at, zxid, body, out),
+            PendingRequest::AddWatch(watch_index) => self.handle_watch_added(watch_index, body, out),
+            PendingRequest::ListChildren(watch_index) => {
+                self.handle_list_response(watch_index, zxid, body, out);
+            }
             // The path was created between the two requests.
-            PendingRequest::WatchPath(at) => {
+            PendingRequest::WatchPath(watch_index) => {
                 if body.is_ok() {
-                    self.list_children(at);
+                    self.list_children(watch_index);
                 }
             }
-            PendingRequest::ReadChild(at, name) => self.child_response(at, name, token, body, out),
+            PendingRequest::ReadChild(watch_index, name) => {
+                self.handle_child_response(watch_index, name, token, body, out);
+            }
         }
     }
 
-    fn registration_response(&mut self, body: Result<Response, Code>, out: &mut Vec<Output>) {
+    fn handle_registration_response(&mut self, body: Result<Response, Code>, out: &mut Vec<Output>) {
         match body {
             Ok(_) => {
                 self.registered = true;
@@ -62,11 +66,11 @@
             }
             // The node of this instance before a kill stands until its session expires.
             Err(Code::NodeExists) => self.check_own_node(),
-            Err(code) => self.own_node_rejected(code, out),
+            Err(code) => self.report_own_node_rejection(code, out),
         }
     }
 
-    fn own_node_checked(&mut self, body: Result<Response, Code>, out: &mut Vec<Output>) {
+    fn handle_own_node_check(&mut self, body: Result<Response, Code>, out: &mut Vec<Output>) {
         let path = self.own_path().unwrap_or_default();
         match body {
             Ok(Response::Stat(stat)) if stat.owner == self.session.id() => {
@@ -76,17 +80,17 @@
             }
             Ok(_) => out.push(Output::Event(ClientEvent::StaleRegistration(path))),
             Err(Code::NoNode) => self.register(),
-            Err(code) => self.own_node_rejected(code, out),
+            Err(code) => self.report_own_node_rejection(code, out),
         }
     }
 
-    fn own_node_rejected(&self, code: Code, out: &mut Vec<Output>) {
+    fn report_own_node_rejection(&self, code: Code, out: &mut Vec<Output>) {
         let path = self.own_path().unwrap_or_default();
         out.push(Output::Event(ClientEvent::Rejected(path, code)));
     }
 
     /// A6: all changes up to the request were reported before this response; a watch still being read is left out.
-    fn synced(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
+    fn report_synced(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         self.sync_due = Some(now + self.sync_interval);
         let requested_at = self.sync_requested_at;
         for (watch, children_watch) in self.watches.iter().enumerate() {
@@ -96,43 +100,54 @@
         }
     }
 
-    fn watch_added(&mut self, at: usize, body: Result<Response, Code>, out: &mut Vec<Output>) {
-        let watch = &mut self.watches[at];
+    fn handle_watch_added(
+        &mut self,
+        watch_index: usize,
+        body: Result<Response, Code>,
+        out: &mut Vec<Output>,
+    ) {
+        let watch = &mut self.watches[watch_index];
         if let Err(code) = body {
             if code != Code::Unimplemented {
                 out.push(Output::Event(ClientEvent::Rejected(watch.path.clone(), code)));
             }
             watch.persistent = false;
         }
-        self.list_children(at);
+        self.list_children(watch_index);
     }
 
-    fn list_response(&mut self, at: usize, zxid: i64, body: Result<Response, Code>, out: &mut Vec<Output>) {
-        let watch = &mut self.watches[at];
+    fn handle_list_response(
+        &mut self,
+        watch_index: usize,
+        zxid: i64,
+        body: Result<Response, Code>,
+        out: &mut Vec<Output>,
+    ) {
+        let watch = &mut self.watches[watch_index];
         watch.listing = false;
         match body {
-            Ok(Response::Children(names, _)) => self.children_listed(at, zxid, names, out),
+            Ok(Response::Children(names, _)) => self.update_children(watch_index, zxid, names, out),
             Ok(_) => {}
             Err(Code::NoNode) => {
-                self.path_missing(at, out);
-                self.watch_missing_path(at);
-                if std::mem::take(&mut self.watches[at].list_again) {
-                    self.list_children(at);
+                self.handle_path_missing(watch_index, out);
+                self.watch_missing_path(watch_index);
+                if std::mem::take(&mut self.watches[watch_index].list_again) {
+                    self.list_children(watch_index);
                 }
             }
             Err(code) => out.push(Output::Event(ClientEvent::Rejected(watch.path.clone(), code))),
         }
     }
 
-    fn child_response(
+    fn handle_child_response(
         &mut self,
-        at: usize,
+        watch_index: usize,
         name: String,
         token: u64,
         body: Result<Response, Code>,
         out: &mut Vec<Output>,
     ) {
-        let watch = &mut self.watches[at];
+        let watch = &mut self.watches[watch_index];
         // A read sent before a later change or the child's deletion is outdated.
         if watch.reading.get(&name) != Some(&token) {
             return;
@@ -140,16 +155,16 @@
         watch.reading.remove(&name);
         match body {
             Ok(Response::Data(data, stat)) => {
-                let event = if watch.admit(&name) {
-                    ClientEvent::ChildChanged { watch: at, name, data, stat }
+                let event = if watch.try_insert(&name) {
+                    ClientEvent::ChildChanged { watch: watch_index, name, data, stat }
                 } else {
-                    ClientEvent::TooManyChildren { watch: at }
+                    ClientEvent::TooManyChildren { watch: watch_index }
                 };
                 out.push(Output::Event(event));
             }
             Err(Code::NoNode) => {
                 if watch.children.remove(&name) {
-                    out.push(Output::Event(ClientEvent::ChildRemoved { watch: at, name }));
+                    out.push(Output::Event(ClientEvent::ChildRemoved { watch: watch_index, name }));
                 }
             }
             Err(code) => {
@@ -158,42 +173,42 @@
             }
             Ok(_) => {}
         }
-        self.report_if_complete(at, out);
+        self.report_if_complete(watch_index, out);
     }
 
-    fn children_listed(&mut self, at: usize, zxid: i64, names: Vec<String>, out: &mut Vec<Output>) {
-        let watch = &mut self.watches[at];
+    fn update_children(&mut self, watch_index: usize, zxid: i64, names: Vec<String>, out: &mut Vec<Output>) {
+        let watch = &mut self.watches[watch_index];
         watch.listing = false;
         watch.list_zxid = Some(zxid);
         if names.len() > MAX_CHILDREN {
-            out.push(Output::Event(ClientEvent::TooManyChildren { watch: at }));
+            out.push(Output::Event(ClientEvent::TooManyChildren { watch: watch_index }));
         }
         let names: BTreeSet<String> = names.into_iter().take(MAX_CHILDREN).collect();
         for name in watch.children.difference(&names).cloned().collect::<Vec<_>>() {
             watch.children.remove(&name);
-            out.push(Output::Event(ClientEvent::ChildRemoved { watch: at, name }));
+            out.push(Output::Event(ClientEvent::ChildRemoved { watch: watch_index, name }));
         }
         // A child that is known and was read on this connection is watched still.
-        let all = std::mem::take(&mut watch.reread_all);
+        let reread_all = std::mem::take(&mut watch.reread_all);
         for name in names {
-            if all || !watch.children.contains(&name) {
-                watch.enqueue(&name);
+            if reread_all || !watch.children.contains(&name) {
+                watch.enqueue_read(&name);
             }
         }
         if std::mem::take(&mut watch.list_again) {
-            self.list_children(at);
+            self.list_children(watch_index);
         }
-        self.report_if_complete(at, out);
+        self.report_if_complete(watch_index, out);
     }
 
-    pub(super) fn report_if_complete(&mut self, at: usize, out: &mut Vec<Output>) {
-        let watch = &mut self.watches[at];
-        if watch.listing || !watch.idle() {
+    pub(super) fn report_if_complete(&mut self, watch_index: usize, out: &mut Vec<Output>) {
+        let watch = &mut self.watches[watch_index];
+        if watch.listing || !watch.has_no_reads() {
             return;
         }
         if let Some(zxid) = watch.list_zxid.take() {
             out.push(Output::Event(ClientEvent::Complete {
-                watch: at,
+                watch: watch_index,
                 zxid,
                 children: watch.children.len(),
             }));
@@ -201,20 +216,20 @@
     }
 
     /// The path itself is not there.
-    pub(super) fn path_missing(&mut self, at: usize, out: &mut Vec<Output>) {
-        let watch = &mut self.watches[at];
-        watch.queue.clear();
+    pub(super) fn handle_path_missing(&mut self, watch_index: usize, out: &mut Vec<Output>) {
+        let watch = &mut self.watches[watch_index];
+        watch.read_queue.clear();
         watch.queued.clear();
         watch.list_zxid = None;
         for name in std::mem::take(&mut watch.children) {
-            out.push(Output::Event(ClientEvent::ChildRemoved { watch: at, name }));
+            out.push(Output::Event(ClientEvent::ChildRemoved { watch: watch_index, name }));
         }
-        out.push(Output::Event(ClientEvent::PathMissing { watch: at }));
+        out.push(Output::Event(ClientEvent::PathMissing { watch: watch_index }));
     }
 }
 
 /// Parents are shared with other instances, so one that exists already is as good as a new one.
-fn parent_created(path: String, body: Result<Response, Code>, out: &mut Vec<Output>) {
+fn handle_parent_created(path: String, body: Result<Response, Code>, out: &mut Vec<Output>) {
     match body {
         Ok(_) | Err(Code::NodeExists) => {}
         Err(code) => out.push(Output::Event(ClientEvent::Rejected(path, code))),
--- a/crates/zookeeper/src/client/watch_events.rs
+++ b/crates/zookeeper/src/client/watch_events.rs
@@ -4,7 +4,7 @@
 
 impl Client {
     /// Handles a watch event: each watch that the path concerns is read again or shortened.
-    pub(super) fn watch_event(&mut self, event: &Event, out: &mut Vec<Output>) {
+    pub(super) fn handle_watch_event(&mut self, event: &Event, out: &mut Vec<Output>) {
         if event.kind == EventKind::Session {
             return;
         }
@@ -12,40 +12,40 @@
             self.registered = false;
             self.register();
         }
-        for at in 0..self.watches.len() {
-            let watch = &self.watches[at];
+        for watch_index in 0..self.watches.len() {
+            let watch = &self.watches[watch_index];
             if watch.path == event.path {
-                self.watched_path_event(at, event.kind, out);
-            } else if let Some(name) = watch.child(&event.path) {
-                self.child_event(at, name, event.kind, out);
+                self.handle_path_event(watch_index, event.kind, out);
+            } else if let Some(name) = watch.child_name(&event.path) {
+                self.handle_child_event(watch_index, name, event.kind, out);
             }
         }
     }
 
-    fn watched_path_event(&mut self, at: usize, kind: EventKind, out: &mut Vec<Output>) {
+    fn handle_path_event(&mut self, watch_index: usize, kind: EventKind, out: &mut Vec<Output>) {
         match kind {
-            EventKind::Created | EventKind::ChildrenChanged => self.list_children(at),
+            EventKind::Created | EventKind::ChildrenChanged => self.list_children(watch_index),
             EventKind::Deleted => {
-                self.path_missing(at, out);
-                self.watch_missing_path(at);
+                self.handle_path_missing(watch_index, out);
+                self.watch_missing_path(watch_index);
             }
             // Without the watch the cache gets no events: it is set and read again.
-            EventKind::PersistentWatchRemoved | EventKind::ChildWatchRemoved => self.add_watch(at),
+            EventKind::PersistentWatchRemoved | EventKind::ChildWatchRemoved => self.add_watch(watch_index),
             EventKind::Session | EventKind::DataChanged | EventKind::DataWatchRemoved => {}
         }
     }
 
-    fn child_event(&mut self, at: usize, name: &str, kind: EventKind, out: &mut Vec<Output>) {
+    fn handle_child_event(&mut self, watch_index: usize, name: &str, kind: EventKind, out: &mut Vec<Output>) {
         match kind {
             EventKind::Created | EventKind::DataChanged | EventKind::DataWatchRemoved => {
-                self.watches[at].enqueue(name);
+                self.watches[watch_index].enqueue_read(name);
             }
             EventKind::Deleted => {
-                if self.watches[at].remove(name) {
+                if self.watches[watch_index].remove(name) {
                     let name = name.to_string();
-                    out.push(Output::Event(ClientEvent::ChildRemoved { watch: at, name }));
+                    out.push(Output::Event(ClientEvent::ChildRemoved { watch: watch_index, name }));
                 }
-                self.report_if_complete(at, out);
+                self.report_if_complete(watch_index, out);
             }
             _ => {}
         }
--- a/crates/zookeeper/src/jute.rs
+++ b/crates/zookeeper/src/jute.rs
@@ -20,70 +20,70 @@
         self.0.len()
     }
 
-    fn take(&mut self, n: usize, what: &'static str) -> Result<&'a [u8], ProtocolError> {
-        let (head, rest) = self.0.split_at_checked(n).ok_or(ProtocolError::Truncated(what))?;
+    fn take(&mut self, count: usize, field: &'static str) -> Result<&'a [u8], ProtocolError> {
+        let (taken, rest) = self.0.split_at_checked(count).ok_or(ProtocolError::Truncated(field))?;
         self.0 = rest;
-        Ok(head)
+        Ok(taken)
     }
 
-    fn array<const N: usize>(&mut self, what: &'static str) -> Result<[u8; N], ProtocolError> {
-        self.take(N, what)?.try_into().map_err(|_| ProtocolError::Truncated(what))
+    fn array<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], ProtocolError> {
+        self.take(N, field)?.try_into().map_err(|_| ProtocolError::Truncated(field))
     }
 
     /// A number of four bytes.
-    pub fn int(&mut self, what: &'static str) -> Result<i32, ProtocolError> {
-        self.array(what).map(i32::from_be_bytes)
+    pub fn int(&mut self, field: &'static str) -> Result<i32, ProtocolError> {
+        self.array(field).map(i32::from_be_bytes)
     }
 
     /// A number of eight bytes.
-    pub fn long(&mut self, what: &'static str) -> Result<i64, ProtocolError> {
-        self.array(what).map(i64::from_be_bytes)
+    pub fn long(&mut self, field: &'static str) -> Result<i64, ProtocolError> {
+        self.array(field).map(i64::from_be_bytes)
     }
 
     /// A truth value: 0 or 1.
-    pub fn flag(&mut self, what: &'static str) -> Result<bool, ProtocolError> {
-        match self.array::<1>(what)? {
+    pub fn flag(&mut self, field: &'static str) -> Result<bool, ProtocolError> {
+        match self.array::<1>(field)? {
             [0] => Ok(false),
             [1] => Ok(true),
-            [n] => Err(ProtocolError::UnknownValue(what, i32::from(n))),
+            [n] => Err(ProtocolError::UnknownValue(field, i32::from(n))),
         }
     }
 
     /// Bytes behind their length; a length of -1 stands for none.
-    pub fn buffer(&mut self, what: &'static str) -> Result<Option<&'a [u8]>, ProtocolError> {
-        match self.int(what)? {
+    pub fn buffer(&mut self, field: &'static str) -> Result<Option<&'a [u8]>, ProtocolError> {
+        match self.int(field)? {
             -1 => Ok(None),
             n => match usize::try_from(n) {
-                Ok(length) if length <= self.0.len() => self.take(length, what).map(Some),
-                _ => Err(ProtocolError::FieldLength(what, n)),
+                Ok(length) if length <= self.0.len() => self.take(length, field).map(Some),
+                _ => Err(ProtocolError::FieldLength(field, n)),
             },
         }
     }
 
     /// A string; none reads as an empty one.
-    pub fn text(&mut self, what: &'static str) -> Result<&'a str, ProtocolError> {
-        std::str::from_utf8(self.buffer(what)?.unwrap_or_default())
-            .map_err(|_| ProtocolError::InvalidUtf8(what))
+    pub fn text(&mut self, field: &'static str) -> Result<&'a str, ProtocolError> {
+        std::str::from_utf8(self.buffer(field)?.unwrap_or_default())
+            .map_err(|_| ProtocolError::InvalidUtf8(field))
     }
 
     /// A vector; a count of -1 stands for an empty one. `min_entry_bytes` is the size of its smallest entry: a count that
     /// can't fit into the frame is rejected before memory is reserved for it.
     pub fn vector<T>(
         &mut self,
-        what: &'static str,
+        field: &'static str,
         min_entry_bytes: usize,
-        mut one: impl FnMut(&mut Self) -> Result<T, ProtocolError>,
+        mut read_entry: impl FnMut(&mut Self) -> Result<T, ProtocolError>,
     ) -> Result<Vec<T>, ProtocolError> {
-        let count = match self.int(what)? {
+        let count = match self.int(field)? {
             -1 => 0,
             n => match usize::try_from(n) {
                 Ok(count) if count.saturating_mul(min_entry_bytes.max(1)) <= self.0.len() => count,
-                _ => return Err(ProtocolError::FieldLength(what, n)),
+                _ => return Err(ProtocolError::FieldLength(field, n)),
             },
         };
         let mut entries = Vec::with_capacity(count);
         for _ in 0..count {
-            entries.push(one(self)?);
+            entries.push(read_entry(self)?);
         }
         Ok(entries)
     }
@@ -129,9 +129,9 @@
         self.buffer(text.as_bytes())
     }
     /// A vector.
-    pub fn vector<T>(&mut self, entries: &[T], mut one: impl FnMut(&mut Self, &T)) -> &mut Self {
+    pub fn vector<T>(&mut self, entries: &[T], mut write_entry: impl FnMut(&mut Self, &T)) -> &mut Self {
         self.int(entries.len() as i32);
-        entries.iter().for_each(|e| one(self, e));
+        entries.iter().for_each(|entry| write_entry(self, entry));
         self
     }
     /// The bytes written, as a frame behind its length.
@@ -156,8 +156,8 @@
 
 /// The complete frame at the front of an input, or none while it is incomplete.
 pub fn frame(input: &[u8]) -> Result<Option<Frame<'_>>, ProtocolError> {
-    let Some(head) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
-    let length = i32::from_be_bytes(*head);
+    let Some(length_bytes) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let length = i32::from_be_bytes(*length_bytes);
     match usize::try_from(length) {
         Ok(length) if length <= MAX_FRAME_BYTES => {
             let length = LENGTH_BYTES + length;
--- a/crates/zookeeper/src/proto/codes.rs
+++ b/crates/zookeeper/src/proto/codes.rs
@@ -10,26 +10,26 @@
 /// The xid of watches that are set again.
 pub const WATCHES_XID: i32 = -8;
 
-macro_rules! numbers {
-    ($(#[$top:meta])* $name:ident, $what:literal, $($(#[$doc:meta])* $item:ident = $value:literal),+ $(,)?) => {
-        $(#[$top])*
+macro_rules! wire_enum {
+    ($(#[$enum_attribute:meta])* $name:ident, $description:literal, $($(#[$item_attribute:meta])* $item:ident = $value:literal),+ $(,)?) => {
+        $(#[$enum_attribute])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
         #[repr(i32)]
-        pub enum $name { $($(#[$doc])* $item = $value),+ }
+        pub enum $name { $($(#[$item_attribute])* $item = $value),+ }
 
         impl $name {
             /// By its number.
             pub fn read(number: i32) -> Result<Self, ProtocolError> {
                 match number {
                     $($value => Ok($name::$item),)+
-                    _ => Err(ProtocolError::UnknownValue($what, number)),
+                    _ => Err(ProtocolError::UnknownValue($description, number)),
                 }
             }
         }
     };
 }
 
-numbers! {
+wire_enum! {
     /// An error that a server answers with.
     Code, "error",
     /// The server failed.
@@ -96,7 +96,7 @@
     ThrottledOp = -127,
 }
 
-numbers! {
+wire_enum! {
     /// An operation.
     Op, "operation",
     /// Create a node.
@@ -139,7 +139,7 @@
     Close = -11,
 }
 
-numbers! {
+wire_enum! {
     /// What happened to a node.
     EventKind, "type of event",
     /// Nothing: the session's state changed.
@@ -160,7 +160,7 @@
     PersistentWatchRemoved = 7,
 }
 
-numbers! {
+wire_enum! {
     /// The create mode of a node.
     Mode, "mode of a node",
     /// It outlives its session.
@@ -173,7 +173,7 @@
     EphemeralSequential = 3,
 }
 
-numbers! {
+wire_enum! {
     /// The mode of a persistent watch.
     WatchMode, "mode of a watch",
     /// On the node and its list of children.
--- a/crates/zookeeper/src/proto/records.rs
+++ b/crates/zookeeper/src/proto/records.rs
@@ -30,25 +30,25 @@
 }
 
 impl Stat {
-    pub(super) fn read(r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+    pub(super) fn read(reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
         Ok(Stat {
-            czxid: r.long("czxid")?,
-            mzxid: r.long("mzxid")?,
-            ctime: r.long("ctime")?,
-            mtime: r.long("mtime")?,
-            version: r.int("version")?,
-            cversion: r.int("cversion")?,
-            aversion: r.int("aversion")?,
-            owner: r.long("ephemeralOwner")?,
-            length: r.int("dataLength")?,
-            children: r.int("numChildren")?,
-            pzxid: r.long("pzxid")?,
+            czxid: reader.long("czxid")?,
+            mzxid: reader.long("mzxid")?,
+            ctime: reader.long("ctime")?,
+            mtime: reader.long("mtime")?,
+            version: reader.int("version")?,
+            cversion: reader.int("cversion")?,
+            aversion: reader.int("aversion")?,
+            owner: reader.long("ephemeralOwner")?,
+            length: reader.int("dataLength")?,
+            children: reader.int("numChildren")?,
+            pzxid: reader.long("pzxid")?,
         })
     }
-    pub(super) fn write(&self, w: &mut Writer) {
-        w.long(self.czxid).long(self.mzxid).long(self.ctime).long(self.mtime);
-        w.int(self.version).int(self.cversion).int(self.aversion).long(self.owner);
-        w.int(self.length).int(self.children).long(self.pzxid);
+    pub(super) fn write(&self, writer: &mut Writer) {
+        writer.long(self.czxid).long(self.mzxid).long(self.ctime).long(self.mtime);
+        writer.int(self.version).int(self.cversion).int(self.aversion).long(self.owner);
+        writer.int(self.length).int(self.children).long(self.pzxid);
     }
 }
 
@@ -72,12 +72,12 @@
     pub fn own() -> Vec<Acl> {
         vec![Acl { perms: 31, scheme: "auth".into(), id: String::new() }]
     }
-    pub(super) fn read(r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
-        let perms = r.int("perms")?;
-        Ok(Acl { perms, scheme: r.text("scheme")?.into(), id: r.text("id")?.into() })
+    pub(super) fn read(reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+        let perms = reader.int("perms")?;
+        Ok(Acl { perms, scheme: reader.text("scheme")?.into(), id: reader.text("id")?.into() })
     }
-    pub(super) fn write(w: &mut Writer, acl: &Acl) {
-        w.int(acl.perms).text(&acl.scheme).text(&acl.id);
+    pub(super) fn write(writer: &mut Writer, acl: &Acl) {
+        writer.int(acl.perms).text(&acl.scheme).text(&acl.id);
     }
 }
 
@@ -97,33 +97,34 @@
 impl Connect {
     /// From a frame.
     pub fn read(frame: &[u8]) -> Result<Self, ProtocolError> {
-        let mut r = Reader::new(frame);
-        let _version = r.int("protocolVersion")?;
-        let (last_zxid_seen, timeout) = (r.long("lastZxidSeen")?, r.int("timeOut")?);
-        let (session, password) = (r.long("sessionId")?, r.buffer("passwd")?);
+        let mut reader = Reader::new(frame);
+        let _version = reader.int("protocolVersion")?;
+        let (last_zxid_seen, timeout) = (reader.long("lastZxidSeen")?, reader.int("timeOut")?);
+        let (session, password) = (reader.long("sessionId")?, reader.buffer("passwd")?);
         let password = password.unwrap_or_default().to_vec();
-        read_only(&mut r)?;
+        read_optional_read_only(&mut reader)?;
         Ok(Connect { last_zxid_seen, timeout, session, password })
     }
     /// As a frame.
     pub fn framed(&self) -> Vec<u8> {
-        let mut w = Writer::default();
-        w.int(0)
+        let mut writer = Writer::default();
+        writer
+            .int(0)
             .long(self.last_zxid_seen)
             .int(self.timeout)
             .long(self.session)
             .buffer(&self.password)
             .flag(false);
-        w.framed()
+        writer.framed()
     }
 }
 
 /// Releases before 3.4 leave the last field out.
-fn read_only(r: &mut Reader<'_>) -> Result<(), ProtocolError> {
-    if r.remaining() > 0 {
-        r.flag("readOnly")?;
+fn read_optional_read_only(reader: &mut Reader<'_>) -> Result<(), ProtocolError> {
+    if reader.remaining() > 0 {
+        reader.flag("readOnly")?;
     }
-    r.expect_end()
+    reader.expect_end()
 }
 
 /// The answer to [`Connect`].
@@ -140,17 +141,17 @@
 impl Connected {
     /// From a frame.
     pub fn read(frame: &[u8]) -> Result<Self, ProtocolError> {
-        let mut r = Reader::new(frame);
-        let _version = r.int("protocolVersion")?;
-        let (timeout, session) = (r.int("timeOut")?, r.long("sessionId")?);
-        let password = r.buffer("passwd")?.unwrap_or_default().to_vec();
-        read_only(&mut r)?;
+        let mut reader = Reader::new(frame);
+        let _version = reader.int("protocolVersion")?;
+        let (timeout, session) = (reader.int("timeOut")?, reader.long("sessionId")?);
+        let password = reader.buffer("passwd")?.unwrap_or_default().to_vec();
+        read_optional_read_only(&mut reader)?;
         Ok(Connected { timeout, session, password })
     }
     /// As a frame.
     pub fn framed(&self) -> Vec<u8> {
-        let mut w = Writer::default();
-        w.int(0).int(self.timeout).long(self.session).buffer(&self.password).flag(false);
-        w.framed()
+        let mut writer = Writer::default();
+        writer.int(0).int(self.timeout).long(self.session).buffer(&self.password).flag(false);
+        writer.framed()
     }
 }
--- a/crates/zookeeper/src/proto/request.rs
+++ b/crates/zookeeper/src/proto/request.rs
@@ -23,7 +23,7 @@
 }
 
 impl Watch {
-    fn of_flag(is_set: bool) -> Self {
+    fn from_flag(is_set: bool) -> Self {
         if is_set {
             Watch::OneTime
         } else {
@@ -150,55 +150,55 @@
 
     /// As a frame under an xid.
     pub fn framed(&self, xid: i32) -> Vec<u8> {
-        let mut w = Writer::default();
-        w.int(xid).int(self.op() as i32);
-        self.write(&mut w);
-        w.framed()
+        let mut writer = Writer::default();
+        writer.int(xid).int(self.op() as i32);
+        self.write(&mut writer);
+        writer.framed()
     }
 
-    fn write(&self, w: &mut Writer) {
+    fn write(&self, writer: &mut Writer) {
         match self {
             Request::Create { path, data, acl, mode, .. } => {
-                w.text(path).buffer(data).vector(acl, Acl::write).int(*mode as i32);
+                writer.text(path).buffer(data).vector(acl, Acl::write).int(*mode as i32);
             }
             Request::Delete(path, version) | Request::Check(path, version) => {
-                w.text(path).int(*version);
+                writer.text(path).int(*version);
             }
             Request::Exists(path, watch)
             | Request::GetData(path, watch)
             | Request::GetChildren(path, watch)
             | Request::GetChildren2(path, watch) => {
-                w.text(path).flag(watch.is_set());
+                writer.text(path).flag(watch.is_set());
             }
             Request::SetData(path, data, version) => {
-                w.text(path).buffer(data).int(*version);
+                writer.text(path).buffer(data).int(*version);
             }
             Request::GetAcl(path) | Request::Sync(path) => {
-                w.text(path);
+                writer.text(path);
             }
             Request::SetAcl(path, acl, version) => {
-                w.text(path).vector(acl, Acl::write).int(*version);
+                writer.text(path).vector(acl, Acl::write).int(*version);
             }
-            Request::Multi(all) => {
-                for one in all {
-                    w.int(one.op() as i32).flag(false).int(-1);
-                    one.write(w);
+            Request::Multi(operations) => {
+                for operation in operations {
+                    writer.int(operation.op() as i32).flag(false).int(-1);
+                    operation.write(writer);
                 }
-                w.int(-1).flag(true).int(-1);
+                writer.int(-1).flag(true).int(-1);
             }
             Request::SetWatches { last_zxid_seen, one_time, persistent } => {
-                w.long(*last_zxid_seen);
+                writer.long(*last_zxid_seen);
                 for paths in one_time.iter().chain(persistent.iter().flatten()) {
-                    w.vector(paths, |w, p| {
-                        w.text(p);
+                    writer.vector(paths, |writer, path| {
+                        writer.text(path);
                     });
                 }
             }
             Request::AddWatch(path, mode) => {
-                w.text(path).int(*mode as i32);
+                writer.text(path).int(*mode as i32);
             }
             Request::Auth(Credential { scheme, secret }) => {
-                w.int(0).text(scheme).buffer(secret);
+                writer.int(0).text(scheme).buffer(secret);
             }
             Request::Ping | Request::Close => {}
         }
@@ -206,52 +206,63 @@
 
     /// Reads the content of a frame.
     pub fn read(frame: &[u8]) -> Result<ReceivedRequest, ProtocolError> {
-        let mut r = Reader::new(frame);
-        let (xid, op) = (r.int("xid")?, Op::read(r.int("type")?)?);
-        let request = Request::body(op, &mut r)?;
-        r.expect_end()?;
+        let mut reader = Reader::new(frame);
+        let (xid, op) = (reader.int("xid")?, Op::read(reader.int("type")?)?);
+        let request = Request::read_body(op, &mut reader)?;
+        reader.expect_end()?;
         Ok(ReceivedRequest { xid, request })
     }
 
-    fn body(op: Op, r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
-        let paths = |r: &mut Reader<'_>| r.vector("watches", 4, |r| r.text("path").map(String::from));
-        let watched =
-            |r: &mut Reader<'_>| Ok((r.text("path")?.to_string(), Watch::of_flag(r.flag("watch")?)));
-        let rights = |r: &mut Reader<'_>| r.vector("acl", 12, Acl::read);
-        let path = |r: &mut Reader<'_>| r.text("path").map(String::from);
+    fn read_body(op: Op, reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+        let read_paths = |reader: &mut Reader<'_>| {
+            reader.vector("watches", 4, |reader| reader.text("path").map(String::from))
+        };
+        let read_path_and_watch = |reader: &mut Reader<'_>| {
+            Ok((reader.text("path")?.to_string(), Watch::from_flag(reader.flag("watch")?)))
+        };
+        let read_acl = |reader: &mut Reader<'_>| reader.vector("acl", 12, Acl::read);
+        let read_path = |reader: &mut Reader<'_>| reader.text("path").map(String::from);
         Ok(match op {
             Op::Create | Op::Create2 => Request::Create {
-                path: path(r)?,
-                data: r.buffer("data")?.unwrap_or_default().to_vec(),
-                acl: rights(r)?,
-                mode: Mode::read(r.int("flags")?)?,
+                path: read_path(reader)?,
+                data: reader.buffer("data")?.unwrap_or_default().to_vec(),
+                acl: read_acl(reader)?,
+                mode: Mode::read(reader.int("flags")?)?,
                 stat: op == Op::Create2,
             },
-            Op::Delete => Request::Delete(path(r)?, r.int("version")?),
-            Op::Check => Request::Check(path(r)?, r.int("version")?),
-            Op::Exists => watched(r).map(|(p, w)| Request::Exists(p, w))?,
-            Op::GetData => watched(r).map(|(p, w)| Request::GetData(p, w))?,
-            Op::GetChildren => watched(r).map(|(p, w)| Request::GetChildren(p, w))?,
-            Op::GetChildren2 => watched(r).map(|(p, w)| Request::GetChildren2(p, w))?,
+            Op::Delete => Request::Delete(read_path(reader)?, reader.int("version")?),
+            Op::Check => Request::Check(read_path(reader)?, reader.int("version")?),
+            Op::Exists => read_path_and_watch(reader).map(|(path, watch)| Request::Exists(path, watch))?,
+            Op::GetData => read_path_and_watch(reader).map(|(path, watch)| Request::GetData(path, watch))?,
+            Op::GetChildren => {
+                read_path_and_watch(reader).map(|(path, watch)| Request::GetChildren(path, watch))?
+            }
+            Op::GetChildren2 => {
+                read_path_and_watch(reader).map(|(path, watch)| Request::GetChildren2(path, watch))?
+            }
             Op::SetData => {
-                let (path, data) = (path(r)?, r.buffer("data")?.unwrap_or_default().to_vec());
-                Request::SetData(path, data, r.int("version")?)
+                let (path, data) = (read_path(reader)?, reader.buffer("data")?.unwrap_or_default().to_vec());
+                Request::SetData(path, data, reader.int("version")?)
             }
-            Op::GetAcl => Request::GetAcl(path(r)?),
-            Op::Sync => Request::Sync(path(r)?),
-            Op::SetAcl => Request::SetAcl(path(r)?, rights(r)?, r.int("version")?),
-            Op::Multi => Request::read_multi(r)?,
+            Op::GetAcl => Request::GetAcl(read_path(reader)?),
+            Op::Sync => Request::Sync(read_path(reader)?),
+            Op::SetAcl => Request::SetAcl(read_path(reader)?, read_acl(reader)?, reader.int("version")?),
+            Op::Multi => Request::read_multi(reader)?,
             Op::SetWatches | Op::SetWatches2 => {
-                let last_zxid_seen = r.long("relativeZxid")?;
-                let one_time = [paths(r)?, paths(r)?, paths(r)?];
-                let persistent = if op == Op::SetWatches2 { Some([paths(r)?, paths(r)?]) } else { None };
+                let last_zxid_seen = reader.long("relativeZxid")?;
+                let one_time = [read_paths(reader)?, read_paths(reader)?, read_paths(reader)?];
+                let persistent = if op == Op::SetWatches2 {
+                    Some([read_paths(reader)?, read_paths(reader)?])
+                } else {
+                    None
+                };
                 Request::SetWatches { last_zxid_seen, one_time, persistent }
             }
-            Op::AddWatch => Request::AddWatch(path(r)?, WatchMode::read(r.int("mode")?)?),
+            Op::AddWatch => Request::AddWatch(read_path(reader)?, WatchMode::read(reader.int("mode")?)?),
             Op::Auth => {
-                let _kind = r.int("type")?;
-                let scheme = r.text("scheme")?.into();
-                let secret = r.buffer("auth")?.unwrap_or_default().to_vec();
+                let _kind = reader.int("type")?;
+                let scheme = reader.text("scheme")?.into();
+                let secret = reader.buffer("auth")?.unwrap_or_default().to_vec();
                 Request::Auth(Credential { scheme, secret })
             }
             Op::Ping => Request::Ping,
@@ -259,16 +270,16 @@
         })
     }
 
-    fn read_multi(r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+    fn read_multi(reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
         let mut operations = Vec::new();
         loop {
-            let (op, done, _) = (r.int("type")?, r.flag("done")?, r.int("err")?);
+            let (op, done, _) = (reader.int("type")?, reader.flag("done")?, reader.int("err")?);
             if done {
                 return Ok(Request::Multi(operations));
             }
             match Op::read(op)? {
                 op @ (Op::Create | Op::Create2 | Op::Delete | Op::SetData | Op::Check) => {
-                    operations.push(Request::body(op, r)?);
+                    operations.push(Request::read_body(op, reader)?);
                 }
                 op => return Err(ProtocolError::UnknownValue("operation within multi", op as i32)),
             }
--- a/crates/zookeeper/src/proto/response.rs
+++ b/crates/zookeeper/src/proto/response.rs
@@ -24,31 +24,31 @@
 }
 
 impl Response {
-    fn write(&self, w: &mut Writer) {
+    fn write(&self, writer: &mut Writer) {
         match self {
             Response::Done => {}
             Response::Path(path, stat) => {
-                w.text(path);
-                stat.iter().for_each(|s| s.write(w));
+                writer.text(path);
+                stat.iter().for_each(|stat| stat.write(writer));
             }
-            Response::Stat(stat) => stat.write(w),
+            Response::Stat(stat) => stat.write(writer),
             Response::Data(data, stat) => {
-                w.buffer(data);
-                stat.write(w);
+                writer.buffer(data);
+                stat.write(writer);
             }
             Response::Acl(acl, stat) => {
-                w.vector(acl, Acl::write);
-                stat.write(w);
+                writer.vector(acl, Acl::write);
+                stat.write(writer);
             }
             Response::Children(names, stat) => {
-                w.vector(names, |w, n| {
-                    w.text(n);
+                writer.vector(names, |writer, name| {
+                    writer.text(name);
                 });
-                stat.iter().for_each(|s| s.write(w));
+                stat.iter().for_each(|stat| stat.write(writer));
             }
-            Response::Multi(all) => {
-                for one in all {
-                    match one {
+            Response::Multi(results) => {
+                for result in results {
+                    match result {
                         Ok(response) => {
                             let op = match response {
                                 Response::Path(_, None) => Op::Create as i32,
@@ -56,56 +56,58 @@
                                 Response::Stat(_) => Op::SetData as i32,
                                 _ => Op::Check as i32,
                             };
-                            w.int(op).flag(false).int(0);
-                            response.write(w);
+                            writer.int(op).flag(false).int(0);
+                            response.write(writer);
                         }
                         Err(code) => {
-                            w.int(-1).flag(false).int(*code as i32).int(*code as i32);
+                            writer.int(-1).flag(false).int(*code as i32).int(*code as i32);
                         }
                     }
                 }
-                w.int(-1).flag(true).int(-1);
+                writer.int(-1).flag(true).int(-1);
             }
         }
     }
 
-    fn read_multi(r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+    fn read_multi(reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
         let mut results = Vec::new();
         loop {
-            let (op, done, _) = (r.int("type")?, r.flag("done")?, r.int("err")?);
+            let (op, done, _) = (reader.int("type")?, reader.flag("done")?, reader.int("err")?);
             match op {
                 _ if done => return Ok(Response::Multi(results)),
-                -1 => match r.int("err")? {
+                -1 => match reader.int("err")? {
                     // In a failed multi, the operations before the failed one have the code 0.
                     0 => results.push(Ok(Response::Done)),
                     code => results.push(Err(Code::read(code)?)),
                 },
-                op => results.push(Ok(Response::body(Op::read(op)?, r)?)),
+                op => results.push(Ok(Response::read_body(Op::read(op)?, reader)?)),
             }
         }
     }
 
     /// The response to this operation.
-    pub fn read(op: Op, r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
-        let response = Response::body(op, r)?;
-        r.expect_end()?;
+    pub fn read(op: Op, reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+        let response = Response::read_body(op, reader)?;
+        reader.expect_end()?;
         Ok(response)
     }
 
-    fn body(op: Op, r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
-        let names = |r: &mut Reader<'_>| r.vector("children", 4, |r| r.text("child").map(String::from));
+    fn read_body(op: Op, reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+        let read_names = |reader: &mut Reader<'_>| {
+            reader.vector("children", 4, |reader| reader.text("child").map(String::from))
+        };
         Ok(match op {
-            Op::Create | Op::Sync => Response::Path(r.text("path")?.into(), None),
-            Op::Create2 => Response::Path(r.text("path")?.into(), Some(Stat::read(r)?)),
-            Op::Exists | Op::SetData | Op::SetAcl => Response::Stat(Stat::read(r)?),
+            Op::Create | Op::Sync => Response::Path(reader.text("path")?.into(), None),
+            Op::Create2 => Response::Path(reader.text("path")?.into(), Some(Stat::read(reader)?)),
+            Op::Exists | Op::SetData | Op::SetAcl => Response::Stat(Stat::read(reader)?),
             Op::GetData => {
-                let data = r.buffer("data")?.unwrap_or_default().to_vec();
-                Response::Data(data, Stat::read(r)?)
+                let data = reader.buffer("data")?.unwrap_or_default().to_vec();
+                Response::Data(data, Stat::read(reader)?)
             }
-            Op::GetAcl => Response::Acl(r.vector("acl", 12, Acl::read)?, Stat::read(r)?),
-            Op::GetChildren => Response::Children(names(r)?, None),
-            Op::GetChildren2 => Response::Children(names(r)?, Some(Stat::read(r)?)),
-            Op::Multi => Response::read_multi(r)?,
+            Op::GetAcl => Response::Acl(reader.vector("acl", 12, Acl::read)?, Stat::read(reader)?),
+            Op::GetChildren => Response::Children(read_names(reader)?, None),
+            Op::GetChildren2 => Response::Children(read_names(reader)?, Some(Stat::read(reader)?)),
+            Op::Multi => Response::read_multi(reader)?,
             Op::Delete
             | Op::Check
             | Op::Ping
@@ -152,43 +154,43 @@
 }
 
 /// Reads the head of a frame that a server sent. The rest is read by [`Response::read`] or [`read_event`].
-pub fn read_reply_head(r: &mut Reader<'_>) -> Result<ReplyHead, ProtocolError> {
-    let (xid, zxid, error) = (r.int("xid")?, r.long("zxid")?, r.int("err")?);
+pub fn read_reply_head(reader: &mut Reader<'_>) -> Result<ReplyHead, ProtocolError> {
+    let (xid, zxid, error) = (reader.int("xid")?, reader.long("zxid")?, reader.int("err")?);
     let error = if error == 0 { None } else { Some(Code::read(error)?) };
     Ok(ReplyHead { xid, zxid, error })
 }
 
 /// Reads an event behind its head.
-pub fn read_event(r: &mut Reader<'_>) -> Result<Event, ProtocolError> {
-    let kind = EventKind::read(r.int("type")?)?;
-    let event = Event { kind, state: r.int("state")?, path: r.text("path")?.into() };
-    r.expect_end()?;
+pub fn read_event(reader: &mut Reader<'_>) -> Result<Event, ProtocolError> {
+    let kind = EventKind::read(reader.int("type")?)?;
+    let event = Event { kind, state: reader.int("state")?, path: reader.text("path")?.into() };
+    reader.expect_end()?;
     Ok(event)
 }
 
 impl Event {
     /// As a frame.
     pub fn framed(&self) -> Vec<u8> {
-        let mut w = Writer::default();
-        w.int(EVENT_XID).long(-1).int(0).int(self.kind as i32).int(self.state).text(&self.path);
-        w.framed()
+        let mut writer = Writer::default();
+        writer.int(EVENT_XID).long(-1).int(0).int(self.kind as i32).int(self.state).text(&self.path);
+        writer.framed()
     }
 }
 
 impl Reply {
     /// As a frame.
     pub fn framed(&self) -> Vec<u8> {
-        let mut w = Writer::default();
-        w.int(self.xid).long(self.zxid);
+        let mut writer = Writer::default();
+        writer.int(self.xid).long(self.zxid);
         match &self.body {
             Ok(response) => {
-                w.int(0);
-                response.write(&mut w);
+                writer.int(0);
+                response.write(&mut writer);
             }
             Err(code) => {
-                w.int(*code as i32);
+                writer.int(*code as i32);
             }
         }
-        w.framed()
+        writer.framed()
     }
 }
--- a/crates/zookeeper/src/session.rs
+++ b/crates/zookeeper/src/session.rs
@@ -25,7 +25,7 @@
 mod state;
 
 pub use interface::{Input, Output, SessionConfig};
-use state::{InFlightRequest, State};
+use state::{InFlightRequest, SessionState};
 
 /// First pause between two attempts to connect; it doubles, and a random half of it is left out.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
@@ -44,7 +44,7 @@
 pub struct Session {
     config: SessionConfig,
     random: Pcg64Mcg,
-    state: State,
+    state: SessionState,
     /// The servers in the order in which they are tried; after the last one they are shuffled again.
     server_order: Vec<usize>,
     next_server: usize,
@@ -75,7 +75,7 @@
             timeout: config.timeout,
             config,
             random: Pcg64Mcg::seed_from_u64(seed),
-            state: State::Disconnected { due: MonotonicTime::MIN },
+            state: SessionState::Disconnected { due: MonotonicTime::MIN },
             next_server: 0,
             backoff: INITIAL_BACKOFF,
             id: 0,
@@ -106,7 +106,7 @@
 
     /// Whether it is established on a connection.
     pub fn is_established(&self) -> bool {
-        self.state == State::Established
+        self.state == SessionState::Established
     }
 
     /// How many requests may be sent now.
@@ -121,13 +121,15 @@
     /// When a tick is wanted.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         match self.state {
-            State::Disconnected { due }
-            | State::Connecting { due }
-            | State::Handshaking { due }
-            | State::Closing { due } => Some(due),
+            SessionState::Disconnected { due }
+            | SessionState::Connecting { due }
+            | SessionState::Handshaking { due }
+            | SessionState::Closing { due } => Some(due),
             // The service measures what the client sends: a client that receives much must send heartbeats all the same.
-            State::Established => Some((self.last_sent_at + self.timeout / 3).min(self.silence_deadline())),
-            State::Closed => None,
+            SessionState::Established => {
+                Some((self.last_sent_at + self.timeout / 3).min(self.silence_deadline()))
+            }
+            SessionState::Closed => None,
         }
     }
 
@@ -146,57 +148,57 @@
             Input::Bytes(bytes) => {
                 self.last_received_at = now;
                 self.input.extend_from_slice(bytes);
-                if let Err(fault) = self.read_frames(now, out) {
-                    self.disconnect(now, fault.to_string(), out);
+                if let Err(error) = self.read_frames(now, out) {
+                    self.disconnect(now, error.to_string(), out);
                 }
             }
-            Input::ConnectionLost(why) => match self.state {
-                State::Closing { .. } => {
-                    self.state = State::Closed;
+            Input::ConnectionLost(reason) => match self.state {
+                SessionState::Closing { .. } => {
+                    self.state = SessionState::Closed;
                     out.push(Output::Closed);
                 }
-                _ => self.connection_lost(now, why.to_string(), out),
+                _ => self.connection_lost(now, reason.to_string(), out),
             },
-            Input::Request(token, request) => self.request(now, token, &request, out),
+            Input::Request(token, request) => self.send_request(now, token, &request, out),
             Input::Close => self.close(now, out),
         }
     }
 
     fn start_handshake(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
-        if matches!(self.state, State::Connecting { .. }) {
-            self.state = State::Handshaking { due: now + self.connect_timeout() };
+        if matches!(self.state, SessionState::Connecting { .. }) {
+            self.state = SessionState::Handshaking { due: now + self.connect_timeout() };
             (self.last_received_at, self.last_sent_at) = (now, now);
             out.push(Output::Write(self.handshake_request()));
         }
     }
 
-    fn request(&mut self, now: MonotonicTime, token: u64, request: &Request, out: &mut Vec<Output>) {
+    fn send_request(&mut self, now: MonotonicTime, token: u64, request: &Request, out: &mut Vec<Output>) {
         if self.available_requests() == 0 {
             return out.push(Output::Busy(token));
         }
-        let xid = self.send(now, request, out);
+        let xid = self.send_frame(now, request, out);
         self.in_flight.push_back(InFlightRequest { xid, op: request.op(), token, sent_at: now });
     }
 
     fn close(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         match self.state {
-            State::Established => {
-                let xid = self.send(now, &Request::Close, out);
+            SessionState::Established => {
+                let xid = self.send_frame(now, &Request::Close, out);
                 self.in_flight.push_back(InFlightRequest { xid, op: Op::Close, token: 0, sent_at: now });
-                self.state = State::Closing { due: now + MAX_CONNECT_TIMEOUT };
+                self.state = SessionState::Closing { due: now + MAX_CONNECT_TIMEOUT };
             }
-            State::Closing { .. } | State::Closed => {}
+            SessionState::Closing { .. } | SessionState::Closed => {}
             state => {
-                if !matches!(state, State::Disconnected { .. }) {
+                if !matches!(state, SessionState::Disconnected { .. }) {
                     out.push(Output::Disconnect("it is closed".into()));
                 }
-                self.state = State::Closed;
+                self.state = SessionState::Closed;
                 out.push(Output::Closed);
             }
         }
     }
 
-    fn send(&mut self, now: MonotonicTime, request: &Request, out: &mut Vec<Output>) -> i32 {
+    fn send_frame(&mut self, now: MonotonicTime, request: &Request, out: &mut Vec<Output>) -> i32 {
         self.xid = self.xid.checked_add(1).unwrap_or(1);
         self.last_sent_at = now;
         out.push(Output::Write(request.framed(self.xid)));
@@ -222,7 +224,7 @@
 
     fn tick(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         match self.state {
-            State::Disconnected { due } if now >= due => {
+            SessionState::Disconnected { due } if now >= due => {
                 self.accept_rollback(now, out);
                 if self.next_server >= self.server_order.len() {
                     self.server_order.shuffle(&mut self.random);
@@ -230,25 +232,25 @@
                 }
                 let Some(&server) = self.server_order.get(self.next_server) else { return };
                 self.next_server += 1;
-                self.state = State::Connecting { due: now + self.connect_timeout() };
+                self.state = SessionState::Connecting { due: now + self.connect_timeout() };
                 out.push(Output::Connect(server));
             }
-            State::Connecting { due } if now >= due => {
+            SessionState::Connecting { due } if now >= due => {
                 self.disconnect(now, "no connection in time".into(), out);
             }
-            State::Handshaking { due } if now >= due => {
+            SessionState::Handshaking { due } if now >= due => {
                 self.disconnect(now, "no session in time".into(), out);
             }
-            State::Established if now >= self.silence_deadline() => {
+            SessionState::Established if now >= self.silence_deadline() => {
                 self.disconnect(now, "it has gone silent".into(), out);
             }
-            State::Established if now >= self.last_sent_at + self.timeout / 3 => {
+            SessionState::Established if now >= self.last_sent_at + self.timeout / 3 => {
                 self.last_sent_at = now;
                 self.unanswered_pings += 1;
                 out.push(Output::Write(Request::Ping.framed(proto::PING_XID)));
             }
-            State::Closing { due } if now >= due => {
-                self.state = State::Closed;
+            SessionState::Closing { due } if now >= due => {
+                self.state = SessionState::Closed;
                 out.extend([Output::Disconnect("no answer to its close".into()), Output::Closed]);
             }
             _ => {}
@@ -257,8 +259,8 @@
 
     /// Gives the zxid seen up where all servers have refused it for long.
     fn accept_rollback(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
-        let long = self.disconnected_since.is_some_and(|since| now >= since + ROLLBACK_TIMEOUT);
-        if long && self.last_zxid > 0 && self.failed_handshakes >= 2 * self.config.servers {
+        let timed_out = self.disconnected_since.is_some_and(|since| now >= since + ROLLBACK_TIMEOUT);
+        if timed_out && self.last_zxid > 0 && self.failed_handshakes >= 2 * self.config.servers {
             (self.last_zxid, self.failed_handshakes) = (0, 0);
             self.discard_session();
             out.push(Output::StateRolledBack);
@@ -271,29 +273,29 @@
     }
 
     /// Closes the connection from this side.
-    fn disconnect(&mut self, now: MonotonicTime, why: String, out: &mut Vec<Output>) {
-        out.push(Output::Disconnect(why.clone()));
-        self.connection_lost(now, why, out);
+    fn disconnect(&mut self, now: MonotonicTime, reason: String, out: &mut Vec<Output>) {
+        out.push(Output::Disconnect(reason.clone()));
+        self.connection_lost(now, reason, out);
     }
 
-    fn connection_lost(&mut self, now: MonotonicTime, why: String, out: &mut Vec<Output>) {
+    fn connection_lost(&mut self, now: MonotonicTime, reason: String, out: &mut Vec<Output>) {
         match self.state {
-            State::Disconnected { .. } | State::Closed => return,
-            State::Established | State::Closing { .. } => {
+            SessionState::Disconnected { .. } | SessionState::Closed => return,
+            SessionState::Established | SessionState::Closing { .. } => {
                 self.disconnected_since = Some(now);
-                out.push(Output::Suspended(why));
+                out.push(Output::Suspended(reason));
             }
-            State::Handshaking { .. } => self.failed_handshakes += 1,
-            State::Connecting { .. } => {}
+            SessionState::Handshaking { .. } => self.failed_handshakes += 1,
+            SessionState::Connecting { .. } => {}
         }
         self.disconnected_since.get_or_insert(now);
         self.input = Vec::new();
         self.unanswered_pings = 0;
         out.extend(self.in_flight.drain(..).map(|request| Output::Dropped(request.token)));
         // Danger: gateways that lost the same server at once must not connect to the next one at the same time.
-        let longest = duration_micros(self.backoff);
-        let pause = Duration::from_micros(self.random.random_range(longest / 2..=longest));
+        let max_pause_micros = duration_micros(self.backoff);
+        let pause = Duration::from_micros(self.random.random_range(max_pause_micros / 2..=max_pause_micros));
         self.backoff = (2 * self.backoff).min(MAX_BACKOFF);
-        self.state = State::Disconnected { due: now + pause };
+        self.state = SessionState::Disconnected { due: now + pause };
     }
 }
--- a/crates/zookeeper/src/session/replies.rs
+++ b/crates/zookeeper/src/session/replies.rs
@@ -1,5 +1,5 @@
 //! Frames of the server: the answer to the handshake, replies and watch events.
-use super::{Output, Session, State, INITIAL_BACKOFF};
+use super::{Output, Session, SessionState, INITIAL_BACKOFF};
 use crate::error::ProtocolError;
 use crate::jute::{self, Frame, Reader};
 use crate::proto::{self, Code, Connected, Op, ReplyHead, Request, Response};
@@ -14,23 +14,26 @@
         out: &mut Vec<Output>,
     ) -> Result<(), ProtocolError> {
         let input = std::mem::take(&mut self.input);
-        let mut at = 0;
-        while let Some(Frame { content, length }) = jute::frame(&input[at..])? {
-            at += length;
+        let mut offset = 0;
+        while let Some(Frame { content, length }) = jute::frame(&input[offset..])? {
+            offset += length;
             match self.state {
-                State::Handshaking { .. } => self.handshake_response(now, content, out)?,
-                State::Established | State::Closing { .. } => self.read_reply(content, out)?,
+                SessionState::Handshaking { .. } => self.handle_handshake_response(now, content, out)?,
+                SessionState::Established | SessionState::Closing { .. } => self.read_reply(content, out)?,
                 // What follows the frame that ended it concerns nobody.
                 _ => return Ok(()),
             }
         }
-        if matches!(self.state, State::Handshaking { .. } | State::Established | State::Closing { .. }) {
-            self.input = input[at..].to_vec();
+        if matches!(
+            self.state,
+            SessionState::Handshaking { .. } | SessionState::Established | SessionState::Closing { .. }
+        ) {
+            self.input = input[offset..].to_vec();
         }
         Ok(())
     }
 
-    fn handshake_response(
+    fn handle_handshake_response(
         &mut self,
         now: MonotonicTime,
         content: &[u8],
@@ -47,7 +50,7 @@
         let fresh = connected.session != self.id;
         self.timeout = Duration::from_millis(u64::from(connected.timeout.unsigned_abs()));
         (self.id, self.password) = (connected.session, connected.password);
-        (self.state, self.backoff, self.next_server) = (State::Established, INITIAL_BACKOFF, 0);
+        (self.state, self.backoff, self.next_server) = (SessionState::Established, INITIAL_BACKOFF, 0);
         (self.disconnected_since, self.failed_handshakes) = (None, 0);
         for credential in &self.config.credentials {
             let auth = Request::Auth(credential.clone());
@@ -58,8 +61,8 @@
     }
 
     fn read_reply(&mut self, content: &[u8], out: &mut Vec<Output>) -> Result<(), ProtocolError> {
-        let mut r = Reader::new(content);
-        let ReplyHead { xid, zxid, error } = proto::read_reply_head(&mut r)?;
+        let mut reader = Reader::new(content);
+        let ReplyHead { xid, zxid, error } = proto::read_reply_head(&mut reader)?;
         if zxid > 0 && xid != proto::EVENT_XID {
             if zxid < self.last_zxid {
                 return Err(ProtocolError::StaleServer { zxid, last_zxid: self.last_zxid });
@@ -68,7 +71,7 @@
         }
         match xid {
             proto::EVENT_XID => {
-                let event = proto::read_event(&mut r)?;
+                let event = proto::read_event(&mut reader)?;
                 out.push(Output::WatchEvent(event));
             }
             proto::PING_XID => {
@@ -82,13 +85,13 @@
                     out.push(Output::CredentialsRejected);
                 }
             }
-            _ => self.read_response(xid, zxid, error, &mut r, out)?,
+            _ => self.handle_response(xid, zxid, error, &mut reader, out)?,
         }
         Ok(())
     }
 
     /// Reads the reply to the oldest request in flight: a server replies in the order of the requests.
-    fn read_response(
+    fn handle_response(
         &mut self,
         xid: i32,
         zxid: i64,
@@ -107,7 +110,7 @@
         };
         self.in_flight.pop_front();
         if request.op == Op::Close {
-            self.state = State::Closed;
+            self.state = SessionState::Closed;
             self.discard_session();
             out.extend([Output::Disconnect("it is closed".into()), Output::Closed]);
             return Ok(());
--- a/crates/zookeeper/src/session/state.rs
+++ b/crates/zookeeper/src/session/state.rs
@@ -4,7 +4,7 @@
 
 /// The state of the connection and the session; `due` is when it times out, or ends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum State {
+pub(super) enum SessionState {
     Disconnected { due: MonotonicTime },
     Connecting { due: MonotonicTime },
     Handshaking { due: MonotonicTime },
--- a/crates/zookeeper/tests/records.rs
+++ b/crates/zookeeper/tests/records.rs
@@ -20,22 +20,22 @@
 }
 
 fn stat() -> impl Strategy<Value = Stat> {
-    (any::<[i64; 6]>(), any::<[i32; 5]>()).prop_map(|(l, i)| Stat {
-        czxid: l[0],
-        mzxid: l[1],
-        ctime: l[2],
-        mtime: l[3],
-        version: i[0],
-        cversion: i[1],
-        aversion: i[2],
-        owner: l[4],
-        length: i[3],
-        children: i[4],
-        pzxid: l[5],
+    (any::<[i64; 6]>(), any::<[i32; 5]>()).prop_map(|(longs, ints)| Stat {
+        czxid: longs[0],
+        mzxid: longs[1],
+        ctime: longs[2],
+        mtime: longs[3],
+        version: ints[0],
+        cversion: ints[1],
+        aversion: ints[2],
+        owner: longs[4],
+        length: ints[3],
+        children: ints[4],
+        pzxid: longs[5],
     })
 }
 
-fn change() -> impl Strategy<Value = Request> {
+fn multi_operation() -> impl Strategy<Value = Request> {
     let mode = prop_oneof![
         Just(Mode::Persistent),
         Just(Mode::Ephemeral),
@@ -58,8 +58,8 @@
 fn request() -> impl Strategy<Value = Request> {
     let paths = || prop::collection::vec(path(), 0..3);
     prop_oneof![
-        4 => change(),
-        1 => prop::collection::vec(change(), 0..4).prop_map(Request::Multi),
+        4 => multi_operation(),
+        1 => prop::collection::vec(multi_operation(), 0..4).prop_map(Request::Multi),
         4 => (path(), watch(), 0..4).prop_map(|(p, w, which)| match which {
             0 => Request::Exists(p, w),
             1 => Request::GetData(p, w),
@@ -95,29 +95,29 @@
         names().prop_map(|n| (Op::GetChildren, Response::Children(n, None))),
         (names(), stat()).prop_map(|(n, s)| (Op::GetChildren2, Response::Children(n, Some(s)))),
         (path(), stat()).prop_map(|(p, s)| {
-            let all = vec![
+            let results = vec![
                 Ok(Response::Path(p.clone(), None)),
                 Ok(Response::Path(p, Some(s))),
                 Ok(Response::Stat(s)),
                 Ok(Response::Done),
                 Err(Code::NoNode),
             ];
-            (Op::Multi, Response::Multi(all))
+            (Op::Multi, Response::Multi(results))
         }),
         Just((Op::Delete, Response::Done)),
     ]
 }
 
 /// The same cases in every run.
-fn fixed() -> ProptestConfig {
+fn deterministic_config() -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(1);
     ProptestConfig { rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(deterministic_config())]
     #[test]
-    fn requests_are_read_as_they_were_written(xid in any::<i32>(), request in request()) {
+    fn requests_round_trip(xid in any::<i32>(), request in request()) {
         let bytes = request.framed(xid);
         let Frame { content, length } = frame(&bytes).expect("a frame").expect("a complete one");
         prop_assert_eq!(length, bytes.len());
@@ -129,29 +129,29 @@
     }
 
     #[test]
-    fn answers_are_read_as_they_were_written(xid in 1..i32::MAX, zxid in any::<i64>(), (op, response) in response()) {
+    fn responses_round_trip(xid in 1..i32::MAX, zxid in any::<i64>(), (op, response) in response()) {
         let bytes = Reply { xid, zxid, body: Ok(response.clone()) }.framed();
         let Frame { content, .. } = frame(&bytes).expect("a frame").expect("a complete one");
-        let mut r = Reader::new(content);
-        prop_assert_eq!(read_reply_head(&mut r), Ok(ReplyHead { xid, zxid, error: None }));
-        prop_assert_eq!(Response::read(op, &mut r), Ok(response));
+        let mut reader = Reader::new(content);
+        prop_assert_eq!(read_reply_head(&mut reader), Ok(ReplyHead { xid, zxid, error: None }));
+        prop_assert_eq!(Response::read(op, &mut reader), Ok(response));
         for end in 16..content.len() {
             prop_assert!(Response::read(op, &mut Reader::new(&content[16..end])).is_err(), "cut at {}", end);
         }
     }
 
     #[test]
-    fn greetings_are_read_as_they_were_written(last_zxid_seen in any::<i64>(), timeout in any::<i32>(), session in any::<i64>(), password in data()) {
+    fn handshake_records_round_trip(last_zxid_seen in any::<i64>(), timeout in any::<i32>(), session in any::<i64>(), password in data()) {
         let connect = Connect { last_zxid_seen, timeout, session, password: password.clone() };
         let bytes = connect.framed();
         prop_assert_eq!(Connect::read(&bytes[4..]), Ok(connect.clone()));
         prop_assert_eq!(Connect::read(&bytes[4..bytes.len() - 1]), Ok(connect), "without the last field, as before 3.4");
-        let granted = Connected { timeout, session, password };
-        prop_assert_eq!(Connected::read(&granted.framed()[4..]), Ok(granted));
+        let connected = Connected { timeout, session, password };
+        prop_assert_eq!(Connected::read(&connected.framed()[4..]), Ok(connected));
     }
 
     #[test]
-    fn no_bytes_whatever_make_a_reader_panic_or_take_much_room(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = frame(&bytes);
         let _ = Request::read(&bytes);
         let _ = Connect::read(&bytes);
@@ -164,29 +164,29 @@
 }
 
 #[test]
-fn lengths_that_cannot_be_are_refused_by_name() {
+fn invalid_lengths_are_rejected_with_the_matching_error() {
     let cases: [(&[u8], ProtocolError); 4] = [
         (&[0xb2, 0xd0, 0x5e, 0x00], ProtocolError::FrameLength(3_000_000_000)),
         (&[0xff, 0xff, 0xff, 0xff], ProtocolError::FrameLength(0xffff_ffff)),
         (&[0x80, 0, 0, 0], ProtocolError::FrameLength(0x8000_0000)),
         (&[0x00, 0x20, 0, 0], ProtocolError::FrameLength(0x20_0000)),
     ];
-    for (bytes, fault) in cases {
-        assert_eq!(frame(bytes), Err(fault));
+    for (bytes, error) in cases {
+        assert_eq!(frame(bytes), Err(error));
     }
     let buffer = |n: i32| Reader::new(&n.to_be_bytes()).buffer("data").map(|b| b.map(<[u8]>::len));
     assert_eq!(buffer(-1), Ok(None));
     assert_eq!(buffer(-2), Err(ProtocolError::FieldLength("data", -2)));
     assert_eq!(buffer(5), Err(ProtocolError::FieldLength("data", 5)));
     let bytes = 0x7fff_ffffi32.to_be_bytes();
-    let counted = Reader::new(&bytes).vector("children", 4, |r| r.int("n"));
-    assert_eq!(counted, Err(ProtocolError::FieldLength("children", i32::MAX)));
+    let vector = Reader::new(&bytes).vector("children", 4, |reader| reader.int("n"));
+    assert_eq!(vector, Err(ProtocolError::FieldLength("children", i32::MAX)));
     assert_eq!(Code::read(-9), Err(ProtocolError::UnknownValue("error", -9)));
     assert!(ProtocolError::FrameLength(3_000_000_000).to_string().contains("3000000000"));
 }
 
 #[test]
-fn errors_have_the_texts_that_operators_know() {
+fn error_messages_are_stable() {
     let texts = [
         (ProtocolError::Truncated("zxid"), "a frame ends within zxid"),
         (ProtocolError::TrailingBytes(3), "3 bytes are left behind a record"),
