--- a/crates/zookeeper/src/client.rs
+++ b/crates/zookeeper/src/client.rs
@@ -1,16 +1,16 @@
 //! A client that maintains an ephemeral node of its own and caches the children of the watched paths.
 //!
-//! On each connection a persistent recursive watch is set on every watched path, and then the path is read by
-//! pipelined requests. Persistent watches do not report what changed while there was no connection (`setWatches2` sets
-//! them, but replays nothing), so the reading is always done again. A server that answers 'unimplemented' (before
-//! release 3.6) gets one-time watches and the older calls.
+//! On each connection the client sets a persistent recursive watch on every watched path and then reads the path with
+//! pipelined requests. Persistent watches do not report changes made while disconnected (`setWatches2` restores them
+//! without replaying events), so every path is read again. If a server answers 'unimplemented' (before release 3.6),
+//! the client uses one-time watches and the older requests.
 //!
-//! * A1 A child is reported as removed only if the service says so: by a deletion, or a list without it.
-//! * A2 A lost connection removes no children.
+//! * A1 A child is reported as removed only on a deletion event, a list of children without it, or a `NoNode` reply.
+//! * A2 Losing the connection removes no children from the cache.
 //! * A3 At most one request per child is queued, and at most the session's window is in flight.
-//! * A5 The server is made to catch up once in each `sync_interval`, by one `sync` at a time.
-//! * A6 A watch is reported as synced, with the time at which the `sync` was requested, once that is answered and
-//!   no read of the watch is in flight.
+//! * A5 A `sync` makes the server catch up once per `sync_interval`; at most one is in flight.
+//! * A6 A watch is reported as synced, with the time at which the `sync` was requested, when the reply arrives and
+//!   no read of the watch is queued or in flight.
 //! * A4 Once a read is complete, the cache equals the service's state at the time of the read or later.
 use crate::proto::{Acl, Code, Request};
 use crate::session::{self, Session};
@@ -32,9 +32,9 @@
 use requests::PendingRequest;
 use responses::ReceivedResponse;
 
-/// Most requests on their way, and so most answers a server holds for this session.
+/// Maximum number of requests in flight, which also bounds the replies that a server buffers for this session.
 const WINDOW: usize = 256;
-/// A client of the ensemble.
+/// A client of a ZooKeeper ensemble that performs no I/O; the driver passes inputs and carries out the outputs.
 #[derive(Debug)]
 pub struct Client {
     session: Session,
@@ -45,17 +45,17 @@
     in_flight: BTreeMap<u64, PendingRequest>,
     last_token: u64,
     sync_interval: Duration,
-    /// When the server is to catch up next; none while a `sync` is in flight, or if the server does not support it.
+    /// When the next `sync` is due; none while one is queued or in flight, or if the server rejected one.
     sync_due: Option<MonotonicTime>,
-    /// When the last `sync` was sent.
+    /// When the last `sync` was passed to the session.
     sync_requested_at: MonotonicTime,
-    /// Requests that wait for a place in the window, at most the parts of the own path and a handful a watch.
+    /// Requests waiting for room in the window: at most one per component of the own path and a few per watch.
     request_queue: VecDeque<(PendingRequest, Request)>,
     acl: Vec<Acl>,
 }
 
 impl Client {
-    /// A client that has not connected yet.
+    /// Creates a disconnected client. `seed` determines the order of the servers and the backoff.
     pub fn new(config: ClientConfig, seed: u64) -> Self {
         let acl = if config.credentials.is_empty() { Acl::open() } else { Acl::own() };
         let session_config = session::SessionConfig {
@@ -83,17 +83,17 @@
         }
     }
 
-    /// The session.
+    /// The underlying session, for its id and state.
     pub fn session(&self) -> &Session {
         &self.session
     }
 
-    /// Whether the own node is known to exist.
+    /// Whether the own node is known to exist and to belong to this session.
     pub fn registered(&self) -> bool {
         self.registered
     }
 
-    /// When a tick is wanted.
+    /// When the driver must next pass [`Input::Tick`]; none if no timer is running.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         let sync = self.sync_due.filter(|_| self.session.is_established());
         self.session.next_due().into_iter().chain(sync).min()
@@ -154,7 +154,7 @@
                     self.handle_response(now, pending, response, out);
                 }
             }
-            // The next connection asks again for all that is wanted.
+            // All requests still needed are queued again when the next connection is established.
             SessionOutput::Dropped(token) | SessionOutput::Busy(token) => drop(self.in_flight.remove(&token)),
         }
     }
--- a/crates/zookeeper/src/client/interface.rs
+++ b/crates/zookeeper/src/client/interface.rs
@@ -1,106 +1,106 @@
-//! What a client takes in and gives out.
+//! The inputs, outputs and events of a client.
 use crate::proto::{Code, Stat};
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// What a client reports to its driver.
+/// An event that a client reports to its driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientEvent {
     /// The session is established.
     SessionEstablished {
-        /// Its id.
+        /// Id of the session.
         session: i64,
-        /// Whether it is a new session, without the nodes of an earlier one.
+        /// Whether the session is new, so that ephemeral nodes of an earlier one do not belong to it.
         fresh: bool,
-        /// Its time-out.
+        /// The session time-out granted by the server.
         timeout: Duration,
     },
-    /// The connection is lost, for this reason. The state of the nodes is unknown until the next one.
+    /// The connection was lost, for this reason. The state of the nodes is unknown until the next connection.
     Suspended(String),
-    /// The service has ended the session, and with it the own node.
+    /// The service ended the session and deleted the own node with it.
     Expired,
-    /// The service was put back to an older state.
+    /// The service was restored to an older state.
     StateRolledBack,
     /// The own node was created, at this path.
     Registered(String),
-    /// The own node of an earlier session still exists, at this path, and is waited out.
+    /// The own node of an earlier session still exists at this path; the client waits for its deletion.
     StaleRegistration(String),
-    /// A request was rejected: its subject and the error.
+    /// A request was rejected: the path of the node (or "credentials") and the error.
     Rejected(String, Code),
-    /// A child was created or changed.
+    /// A child was read: it is new, has changed, or was reread on a new connection.
     ChildChanged {
-        /// Which watch.
+        /// Index of the watch in [`ClientConfig::watched_paths`](super::ClientConfig::watched_paths).
         watch: usize,
-        /// Its name.
+        /// Name of the child, without the path of its parent.
         name: String,
-        /// Its data.
+        /// Data of the child.
         data: Vec<u8>,
-        /// Its stat.
+        /// Metadata of the child.
         stat: Stat,
     },
     /// A child was deleted.
     ChildRemoved {
-        /// Which watch.
+        /// Index of the watch in [`ClientConfig::watched_paths`](super::ClientConfig::watched_paths).
         watch: usize,
-        /// Its name.
+        /// Name of the child, without the path of its parent.
         name: String,
     },
-    /// A watch has been read completely, at this zxid.
+    /// All children of a list have been read.
     Complete {
-        /// Which watch.
+        /// Index of the watch in [`ClientConfig::watched_paths`](super::ClientConfig::watched_paths).
         watch: usize,
-        /// The zxid of its list.
+        /// The zxid of the list of children.
         zxid: i64,
-        /// How many children it has.
+        /// Number of cached children.
         children: usize,
     },
     /// The path of a watch does not exist.
     PathMissing {
-        /// Which watch.
+        /// Index of the watch in [`ClientConfig::watched_paths`](super::ClientConfig::watched_paths).
         watch: usize,
     },
-    /// A watch has more children than are cached.
+    /// The path of a watch has more than [`MAX_CHILDREN`](super::MAX_CHILDREN) children; the rest is not cached.
     TooManyChildren {
-        /// Which watch.
+        /// Index of the watch in [`ClientConfig::watched_paths`](super::ClientConfig::watched_paths).
         watch: usize,
     },
     /// The cache of a watch is at least as new as the ensemble was when this `sync` was requested.
     Synced {
-        /// Which watch.
+        /// Index of the watch in [`ClientConfig::watched_paths`](super::ClientConfig::watched_paths).
         watch: usize,
         /// When the `sync` was requested.
         requested_at: MonotonicTime,
     },
-    /// The session was closed.
+    /// The session was closed on request.
     Closed,
 }
 
-/// What the driver has to do, and what the client reports.
+/// An action for the driver, or an event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Open a connection to the server with this index.
+    /// Open a connection to the server with this index; any earlier connection has been closed.
     Connect(usize),
-    /// Write this.
+    /// Write these bytes to the connection.
     Write(Vec<u8>),
-    /// Close the connection; the client knows of it.
+    /// Close the connection, for this reason; do not pass [`Input::ConnectionLost`] for it.
     Disconnect(String),
-    /// Something to report.
+    /// Report this event.
     Event(ClientEvent),
 }
 
-/// What happens to a client.
+/// An input from the driver.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A time named by [`Client::next_due`](super::Client::next_due) has come.
+    /// The time returned by [`Client::next_due`](super::Client::next_due) has been reached.
     Tick,
-    /// The connection has come up.
+    /// The requested connection is open.
     Connected,
-    /// Bytes came in on it.
+    /// Bytes were received on the connection.
     Bytes(&'a [u8]),
-    /// It is lost, or could not be opened.
+    /// The connection was lost or could not be opened, for this reason.
     ConnectionLost(&'a str),
-    /// Set the own node's data.
+    /// Set the own node's data, now if it exists and otherwise when it is created.
     Data(Vec<u8>),
-    /// Close the session.
+    /// Close the session, which deletes the own node.
     Close,
 }
--- a/crates/zookeeper/src/client/requests.rs
+++ b/crates/zookeeper/src/client/requests.rs
@@ -1,4 +1,4 @@
-//! The queue of requests: what is requested on a new connection, and what is sent when the window allows it.
+//! The request queue: builds the requests for a new connection and sends them as the window allows.
 use super::children_watch::ChildrenWatch;
 use super::{Client, Output};
 use crate::proto::{Acl, Mode, Request, Watch, WatchMode};
@@ -6,7 +6,7 @@
 use larchway::MonotonicTime;
 use std::time::Duration;
 
-/// What a request in flight was sent for.
+/// The purpose of a queued or in-flight request; indexes refer to the watches of the client.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum PendingRequest {
     CreateParent(String),
@@ -73,7 +73,7 @@
     }
 
     pub(super) fn create_request(&self, path: &str, data: Vec<u8>, mode: Mode) -> Request {
-        // Parts of the path are shared with other instances; only the own node has a restrictive ACL.
+        // Parent nodes are shared with other instances, so only the own node gets a restrictive ACL.
         let acl = if mode.ephemeral() { self.acl.clone() } else { Acl::open() };
         Request::Create { path: path.to_string(), data, acl, mode, stat: false }
     }
@@ -103,7 +103,7 @@
         }
         watch.listing = true;
         let path = watch.path.clone();
-        // Servers without persistent watches get the older requests only.
+        // Servers without persistent watches are sent only the older requests.
         let request = if watch.persistent {
             Request::GetChildren2(path, Watch::None)
         } else {
@@ -145,7 +145,7 @@
         None
     }
 
-    /// On a server without persistent watches, asks to be notified once the path is created.
+    /// On a server without persistent watches, sets a one-time watch that reports the creation of the path.
     pub(super) fn watch_missing_path(&mut self, watch_index: usize) {
         let watch = &self.watches[watch_index];
         if !watch.persistent {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Sets the recursive watch on a path.
+    /// Queues the request that sets the recursive watch on a path.
     pub(super) fn add_watch(&mut self, watch_index: usize) {
         let request = Request::AddWatch(self.watches[watch_index].path.clone(), WatchMode::Recursive);
         self.request_queue.push_back((PendingRequest::AddWatch(watch_index), request));
--- a/crates/zookeeper/src/client/responses.rs
+++ b/crates/zookeeper/src/client/responses.rs
@@ -1,4 +1,4 @@
-//! What the response to each request means.
+//! Handles the response to each kind of request.
 use super::children_watch::MAX_CHILDREN;
 use super::requests::PendingRequest;
 use super::{Client, ClientEvent, Output};
@@ -6,13 +6,13 @@
 use larchway::MonotonicTime;
 use std::collections::BTreeSet;
 
-/// A response of the server, and the request it belongs to.
+/// A response of the server, with the token of its request.
 pub(super) struct ReceivedResponse {
-    /// The request's token.
+    /// Token of the request.
     pub(super) token: u64,
-    /// The server's zxid.
+    /// The last zxid that the server had seen.
     pub(super) zxid: i64,
-    /// The result, or the server's error.
+    /// The result of the request, or the error of the server.
     pub(super) body: Result<Response, Code>,
 }
 
@@ -35,7 +35,7 @@
                     self.report_own_node_rejection(code, out);
                 }
             }
-            // A server that does not support sync gets no further one on this connection.
+            // If the server rejects the sync, no further one is sent on this connection.
             PendingRequest::Sync => {
                 if body.is_ok() {
                     self.report_synced(now, out);
@@ -45,7 +45,7 @@
             PendingRequest::ListChildren(watch_index) => {
                 self.handle_list_response(watch_index, zxid, body, out);
             }
-            // The path was created between the two requests.
+            // The path was created after the list request and before this watch was set.
             PendingRequest::WatchPath(watch_index) => {
                 if body.is_ok() {
                     self.list_children(watch_index);
@@ -64,7 +64,7 @@
                 let path = self.own_path().unwrap_or_default();
                 out.push(Output::Event(ClientEvent::Registered(path)));
             }
-            // The node of this instance before a kill stands until its session expires.
+            // If this instance was killed and restarted, its previous node exists until that session expires.
             Err(Code::NodeExists) => self.check_own_node(),
             Err(code) => self.report_own_node_rejection(code, out),
         }
@@ -89,7 +89,8 @@
         out.push(Output::Event(ClientEvent::Rejected(path, code)));
     }
 
-    /// A6: all changes up to the request were reported before this response; a watch still being read is left out.
+    /// A6: the server sends all changes before the `sync` ahead of this response, so every watch without outstanding
+    /// reads is up to date.
     fn report_synced(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         self.sync_due = Some(now + self.sync_interval);
         let requested_at = self.sync_requested_at;
@@ -148,7 +149,7 @@
         out: &mut Vec<Output>,
     ) {
         let watch = &mut self.watches[watch_index];
-        // A read sent before a later change or the child's deletion is outdated.
+        // The response is outdated if a later read of the child was sent or the child was deleted.
         if watch.reading.get(&name) != Some(&token) {
             return;
         }
@@ -188,7 +189,7 @@
             watch.children.remove(&name);
             out.push(Output::Event(ClientEvent::ChildRemoved { watch: watch_index, name }));
         }
-        // A child that is known and was read on this connection is watched still.
+        // A cached child that was read on this connection is still watched and needs no new read.
         let reread_all = std::mem::take(&mut watch.reread_all);
         for name in names {
             if reread_all || !watch.children.contains(&name) {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// The path itself is not there.
+    /// Removes all cached children because the watched path does not exist.
     pub(super) fn handle_path_missing(&mut self, watch_index: usize, out: &mut Vec<Output>) {
         let watch = &mut self.watches[watch_index];
         watch.read_queue.clear();
@@ -228,7 +229,7 @@
     }
 }
 
-/// Parents are shared with other instances, so one that exists already is as good as a new one.
+/// Reports a failure to create a parent node. `NodeExists` is no failure: other instances share the parents.
 fn handle_parent_created(path: String, body: Result<Response, Code>, out: &mut Vec<Output>) {
     match body {
         Ok(_) | Err(Code::NodeExists) => {}
--- a/crates/zookeeper/src/client/watch_events.rs
+++ b/crates/zookeeper/src/client/watch_events.rs
@@ -1,9 +1,9 @@
-//! What a watch event of the server means.
+//! Handles watch events of the server.
 use super::{Client, ClientEvent, Output};
 use crate::proto::{Event, EventKind};
 
 impl Client {
-    /// Handles a watch event: each watch that the path concerns is read again or shortened.
+    /// Handles a watch event: rereads the changed nodes of each affected watch, or removes deleted children.
     pub(super) fn handle_watch_event(&mut self, event: &Event, out: &mut Vec<Output>) {
         if event.kind == EventKind::Session {
             return;
@@ -29,7 +29,7 @@
                 self.handle_path_missing(watch_index, out);
                 self.watch_missing_path(watch_index);
             }
-            // Without the watch the cache gets no events: it is set and read again.
+            // Without the watch no events arrive, so it is set again and the path reread.
             EventKind::PersistentWatchRemoved | EventKind::ChildWatchRemoved => self.add_watch(watch_index),
             EventKind::Session | EventKind::DataChanged | EventKind::DataWatchRemoved => {}
         }
--- a/crates/zookeeper/src/jute.rs
+++ b/crates/zookeeper/src/jute.rs
@@ -1,21 +1,21 @@
-//! The jute form of records: big-endian numbers, buffers and strings behind a length of four bytes, vectors behind
-//! a count (Apache ZooKeeper, `zookeeper-jute`).
+//! The jute encoding of records: big-endian numbers, buffers and strings with a length prefix of four bytes, vectors
+//! with a count prefix of four bytes (Apache ZooKeeper, `zookeeper-jute`).
 use crate::error::ProtocolError;
 
-/// Longest frame accepted, in bytes: the usual limit of a node (`jute.maxbuffer`, 1 MiB) with room for its record.
+/// Maximum length of a frame in bytes: the default limit of a node (`jute.maxbuffer`, 1 MiB) plus room for its record.
 pub const MAX_FRAME_BYTES: usize = (1 << 20) + 4096;
 
-/// Reads fields off a frame.
+/// Decodes fields from the content of a frame. The `field` parameters name the field in errors.
 #[derive(Debug, Clone, Copy)]
 pub struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    /// Over these bytes.
+    /// Creates a reader at the start of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Self {
         Reader(bytes)
     }
 
-    /// How many bytes are left.
+    /// Number of bytes not read yet.
     pub fn remaining(&self) -> usize {
         self.0.len()
     }
@@ -30,17 +30,17 @@
         self.take(N, field)?.try_into().map_err(|_| ProtocolError::Truncated(field))
     }
 
-    /// A number of four bytes.
+    /// Reads a signed number of four bytes.
     pub fn int(&mut self, field: &'static str) -> Result<i32, ProtocolError> {
         self.array(field).map(i32::from_be_bytes)
     }
 
-    /// A number of eight bytes.
+    /// Reads a signed number of eight bytes.
     pub fn long(&mut self, field: &'static str) -> Result<i64, ProtocolError> {
         self.array(field).map(i64::from_be_bytes)
     }
 
-    /// A truth value: 0 or 1.
+    /// Reads a boolean: a byte of 0 or 1.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, ProtocolError> {
         match self.array::<1>(field)? {
             [0] => Ok(false),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Bytes behind their length; a length of -1 stands for none.
+    /// Reads bytes with a length prefix; a length of -1 denotes an absent buffer.
     pub fn buffer(&mut self, field: &'static str) -> Result<Option<&'a [u8]>, ProtocolError> {
         match self.int(field)? {
             -1 => Ok(None),
@@ -60,14 +60,14 @@
         }
     }
 
-    /// A string; none reads as an empty one.
+    /// Reads a UTF-8 string; an absent one is read as empty.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, ProtocolError> {
         std::str::from_utf8(self.buffer(field)?.unwrap_or_default())
             .map_err(|_| ProtocolError::InvalidUtf8(field))
     }
 
-    /// A vector; a count of -1 stands for an empty one. `min_entry_bytes` is the size of its smallest entry: a count that
-    /// can't fit into the frame is rejected before memory is reserved for it.
+    /// Reads a vector; a count of -1 denotes an empty one. `min_entry_bytes` is the size of the smallest entry: a count
+    /// that cannot fit into the frame is rejected before memory is allocated for it.
     pub fn vector<T>(
         &mut self,
         field: &'static str,
@@ -88,7 +88,7 @@
         Ok(entries)
     }
 
-    /// Nothing may be left.
+    /// Returns an error if bytes are left after the last field.
     pub fn expect_end(&self) -> Result<(), ProtocolError> {
         if self.0.is_empty() {
             Ok(())
@@ -98,43 +98,43 @@
     }
 }
 
-/// Writes fields.
+/// Encodes fields; holds the bytes written so far, without the length prefix of the frame.
 #[derive(Debug, Default, Clone)]
 pub struct Writer(pub Vec<u8>);
 
 impl Writer {
-    /// A number of four bytes.
+    /// Writes a signed number of four bytes.
     pub fn int(&mut self, n: i32) -> &mut Self {
         self.0.extend_from_slice(&n.to_be_bytes());
         self
     }
-    /// A number of eight bytes.
+    /// Writes a signed number of eight bytes.
     pub fn long(&mut self, n: i64) -> &mut Self {
         self.0.extend_from_slice(&n.to_be_bytes());
         self
     }
-    /// A truth value.
+    /// Writes a boolean as a byte of 0 or 1.
     pub fn flag(&mut self, on: bool) -> &mut Self {
         self.0.push(u8::from(on));
         self
     }
-    /// Bytes behind their length.
+    /// Writes bytes with a length prefix.
     pub fn buffer(&mut self, bytes: &[u8]) -> &mut Self {
         self.int(bytes.len() as i32);
         self.0.extend_from_slice(bytes);
         self
     }
-    /// A string.
+    /// Writes a UTF-8 string with a length prefix.
     pub fn text(&mut self, text: &str) -> &mut Self {
         self.buffer(text.as_bytes())
     }
-    /// A vector.
+    /// Writes a vector: its count, then each entry with `write_entry`.
     pub fn vector<T>(&mut self, entries: &[T], mut write_entry: impl FnMut(&mut Self, &T)) -> &mut Self {
         self.int(entries.len() as i32);
         entries.iter().for_each(|entry| write_entry(self, entry));
         self
     }
-    /// The bytes written, as a frame behind its length.
+    /// Returns the bytes written as a frame with its length prefix.
     pub fn framed(&self) -> Vec<u8> {
         let mut out = (self.0.len() as u32).to_be_bytes().to_vec();
         out.extend_from_slice(&self.0);
@@ -142,19 +142,19 @@
     }
 }
 
-/// Bytes of the length that precedes a frame.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A frame at the front of an input.
+/// A complete frame at the start of an input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// Its content.
+    /// The bytes after the length prefix.
     pub content: &'a [u8],
-    /// Its length in bytes, with the length that precedes it.
+    /// Length of the frame in bytes, including the length prefix.
     pub length: usize,
 }
 
-/// The complete frame at the front of an input, or none while it is incomplete.
+/// Returns the frame at the start of an input, or none while it is incomplete.
 pub fn frame(input: &[u8]) -> Result<Option<Frame<'_>>, ProtocolError> {
     let Some(length_bytes) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = i32::from_be_bytes(*length_bytes);
@@ -163,7 +163,7 @@
             let length = LENGTH_BYTES + length;
             Ok(input.get(LENGTH_BYTES..length).map(|content| Frame { content, length }))
         }
-        // As an unsigned number: 3 GB reads as what it was meant to be.
+        // Reported as unsigned, so that a length of 3 GB appears as 3000000000 and not as a negative number.
         _ => Err(ProtocolError::FrameLength(i64::from(length as u32))),
     }
 }
--- a/crates/zookeeper/src/proto/codes.rs
+++ b/crates/zookeeper/src/proto/codes.rs
@@ -1,13 +1,13 @@
 //! The numbers of the protocol as enums: errors, operations, event types and modes.
 use crate::error::ProtocolError;
 
-/// The xid of an event.
+/// The xid of a watch event.
 pub const EVENT_XID: i32 = -1;
-/// The xid of a ping and its answer.
+/// The xid of a ping and its reply.
 pub const PING_XID: i32 = -2;
-/// The xid of credentials.
+/// The xid of an authentication request and its reply.
 pub const AUTH_XID: i32 = -4;
-/// The xid of watches that are set again.
+/// The xid of a request that restores watches.
 pub const WATCHES_XID: i32 = -8;
 
 macro_rules! wire_enum {
@@ -18,7 +18,7 @@
         pub enum $name { $($(#[$item_attribute])* $item = $value),+ }
 
         impl $name {
-            /// By its number.
+            /// Returns the value with this number on the wire, or an error if there is none.
             pub fn read(number: i32) -> Result<Self, ProtocolError> {
                 match number {
                     $($value => Ok($name::$item),)+
@@ -30,82 +30,82 @@
 }
 
 wire_enum! {
-    /// An error that a server answers with.
+    /// An error code in a reply.
     Code, "error",
-    /// The server failed.
+    /// The server failed with a system error.
     SystemError = -1,
-    /// An inconsistency while it ran.
+    /// The server detected a runtime inconsistency.
     RuntimeInconsistency = -2,
-    /// An inconsistency of its data.
+    /// The server detected an inconsistency in its data.
     DataInconsistency = -3,
-    /// It lost its connection to the ensemble.
+    /// The server lost its connection to the ensemble.
     ConnectionLoss = -4,
-    /// It could not read the request.
+    /// The server could not decode the request.
     MarshallingError = -5,
-    /// It does not know the operation.
+    /// The server does not support the operation.
     Unimplemented = -6,
-    /// It ran out of time.
+    /// The operation timed out.
     OperationTimeout = -7,
-    /// The request's arguments are of no use.
+    /// The arguments of the request are invalid.
     BadArguments = -8,
-    /// It does not know the session.
+    /// The server does not know the session.
     UnknownSession = -12,
-    /// No quorum of a new configuration.
+    /// A new configuration has no quorum of connected servers.
     NewConfigNoQuorum = -13,
-    /// A reconfiguration is under way.
+    /// Another reconfiguration is in progress.
     ReconfigInProgress = -14,
-    /// Wrong use.
+    /// The API was used incorrectly.
     ApiError = -100,
-    /// There is no such node.
+    /// The node does not exist.
     NoNode = -101,
-    /// Not allowed.
+    /// The ACL of the node does not permit the operation.
     NoAuth = -102,
-    /// The node has another version.
+    /// The version of the node differs from the one in the request.
     BadVersion = -103,
     /// An ephemeral node can't have children.
     NoChildrenForEphemerals = -108,
-    /// The node is there already.
+    /// The node exists already.
     NodeExists = -110,
     /// The node has children.
     NotEmpty = -111,
     /// The session has expired.
     SessionExpired = -112,
-    /// A callback is of no use.
+    /// A callback is invalid.
     InvalidCallback = -113,
-    /// Invalid ACL.
+    /// The ACL is invalid.
     InvalidAcl = -114,
-    /// Credentials were refused.
+    /// The credentials were rejected.
     AuthFailed = -115,
     /// The session moved to another server.
     SessionMoved = -118,
-    /// The server only reads.
+    /// A state-changing request was sent to a read-only server.
     NotReadOnly = -119,
     /// Ephemeral nodes need a global session.
     EphemeralOnLocalSession = -120,
-    /// There is no such watch.
+    /// The watch does not exist.
     NoWatcher = -121,
     /// The request took too long.
     RequestTimeout = -122,
-    /// Reconfiguration is off.
+    /// Reconfiguration is disabled.
     ReconfigDisabled = -123,
-    /// The session wants credentials first.
+    /// The server closed the session because it requires SASL authentication.
     SessionClosedRequireSaslAuth = -124,
-    /// Beyond the quota.
+    /// The quota was exceeded.
     QuotaExceeded = -125,
     /// Rejected because the server is overloaded.
     ThrottledOp = -127,
 }
 
 wire_enum! {
-    /// An operation.
+    /// The type of a request.
     Op, "operation",
     /// Create a node.
     Create = 1,
     /// Delete a node.
     Delete = 2,
-    /// Whether a node is there.
+    /// Check whether a node exists.
     Exists = 3,
-    /// A node's data.
+    /// Read a node's data.
     GetData = 4,
     /// Change a node's data.
     SetData = 5,
@@ -113,25 +113,25 @@
     GetAcl = 6,
     /// Set a node's ACL.
     SetAcl = 7,
-    /// Names of children.
+    /// Read the names of the children.
     GetChildren = 8,
-    /// Wait until the server has caught up.
+    /// Make the server catch up with the leader before it replies.
     Sync = 9,
     /// Heartbeat.
     Ping = 11,
-    /// Names of children, and the node's stat.
+    /// Read the names of the children and the node's stat.
     GetChildren2 = 12,
-    /// Check a version.
+    /// Check a node's version.
     Check = 13,
-    /// Several at once, all or none.
+    /// Execute several operations atomically.
     Multi = 14,
     /// Create a node; the response has its stat.
     Create2 = 15,
-    /// Credentials.
+    /// Authenticate with a credential.
     Auth = 100,
-    /// Set one-time watches again.
+    /// Restore one-time watches on a new connection.
     SetWatches = 101,
-    /// Set watches again, persistent ones among them.
+    /// Restore one-time and persistent watches on a new connection.
     SetWatches2 = 105,
     /// Set a persistent watch.
     AddWatch = 106,
@@ -140,45 +140,45 @@
 }
 
 wire_enum! {
-    /// What happened to a node.
+    /// The type of a watch event.
     EventKind, "type of event",
-    /// Nothing: the session's state changed.
+    /// The state of the session changed; no node is affected.
     Session = -1,
-    /// It was created.
+    /// The node was created.
     Created = 1,
-    /// It was deleted.
+    /// The node was deleted.
     Deleted = 2,
-    /// Its data changed.
+    /// The data of the node changed.
     DataChanged = 3,
-    /// A child was created or deleted.
+    /// A child of the node was created or deleted.
     ChildrenChanged = 4,
-    /// The watch on its data was removed.
+    /// The watch on the data of the node was removed.
     DataWatchRemoved = 5,
-    /// The watch on its children was removed.
+    /// The watch on the children of the node was removed.
     ChildWatchRemoved = 6,
-    /// The persistent watch on it was removed.
+    /// The persistent watch on the node was removed.
     PersistentWatchRemoved = 7,
 }
 
 wire_enum! {
     /// The create mode of a node.
     Mode, "mode of a node",
-    /// It outlives its session.
+    /// The node outlives its session.
     Persistent = 0,
-    /// It is deleted when its session ends.
+    /// The node is deleted when its session ends.
     Ephemeral = 1,
-    /// It outlives its session; the server appends a number to its name.
+    /// The node outlives its session; the server appends a number to its name.
     PersistentSequential = 2,
-    /// Both.
+    /// The node is deleted when its session ends; the server appends a number to its name.
     EphemeralSequential = 3,
 }
 
 wire_enum! {
     /// The mode of a persistent watch.
     WatchMode, "mode of a watch",
-    /// On the node and its list of children.
+    /// The watch covers the node and its list of children.
     Persistent = 0,
-    /// On the node and all below it.
+    /// The watch covers the node and all its descendants.
     Recursive = 1,
 }
 
@@ -187,7 +187,7 @@
     pub fn ephemeral(self) -> bool {
         matches!(self, Mode::Ephemeral | Mode::EphemeralSequential)
     }
-    /// Whether the server appends a number to its name.
+    /// Whether the server appends a number to the name of the node.
     pub fn sequential(self) -> bool {
         matches!(self, Mode::PersistentSequential | Mode::EphemeralSequential)
     }
--- a/crates/zookeeper/src/proto/records.rs
+++ b/crates/zookeeper/src/proto/records.rs
@@ -5,27 +5,27 @@
 /// Metadata of a node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stat {
-    /// zxid of its creation.
+    /// zxid of the creation of the node.
     pub czxid: i64,
-    /// zxid of its last change.
+    /// zxid of the last change of the data.
     pub mzxid: i64,
-    /// Unix ms of its creation.
+    /// Time of the creation, in ms since the Unix epoch.
     pub ctime: i64,
-    /// Unix ms of its last change.
+    /// Time of the last change of the data, in ms since the Unix epoch.
     pub mtime: i64,
-    /// Changes of its data.
+    /// Number of changes of the data.
     pub version: i32,
-    /// Changes of its children.
+    /// Number of changes of the list of children.
     pub cversion: i32,
-    /// Changes of its ACL.
+    /// Number of changes of the ACL.
     pub aversion: i32,
-    /// The session that owns an ephemeral node; 0: not ephemeral.
+    /// Id of the session that owns the ephemeral node; 0 if the node is not ephemeral.
     pub owner: i64,
-    /// Bytes of data.
+    /// Length of the data in bytes.
     pub length: i32,
-    /// Children.
+    /// Number of children.
     pub children: i32,
-    /// zxid of the last change of its children.
+    /// zxid of the last change of the list of children.
     pub pzxid: i64,
 }
 
@@ -57,18 +57,18 @@
 pub struct Acl {
     /// Bits: 1 read, 2 write, 4 create, 8 delete, 16 admin.
     pub perms: i32,
-    /// How the id is to be understood: `world`, `auth`, `digest`.
+    /// Authentication scheme that defines the id: `world`, `auth`, `digest`.
     pub scheme: String,
-    /// Whom it concerns.
+    /// Identity within the scheme to which the permissions are granted.
     pub id: String,
 }
 
 impl Acl {
-    /// All permissions for anyone.
+    /// Returns an ACL that grants all permissions to anyone.
     pub fn open() -> Vec<Acl> {
         vec![Acl { perms: 31, scheme: "world".into(), id: "anyone".into() }]
     }
-    /// All permissions for the credentials of this session.
+    /// Returns an ACL that grants all permissions to the credentials of this session only.
     pub fn own() -> Vec<Acl> {
         vec![Acl { perms: 31, scheme: "auth".into(), id: String::new() }]
     }
@@ -81,21 +81,21 @@
     }
 }
 
-/// The first record of a connection.
+/// The handshake request, the first record of a connection.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Connect {
-    /// The last zxid seen: a server that lags behind it refuses the session.
+    /// The last zxid that the client has seen; a server that lags behind it rejects the session.
     pub last_zxid_seen: i64,
-    /// Requested time-out, in ms.
+    /// Requested session time-out in ms.
     pub timeout: i32,
-    /// The session to resume; 0: a new one.
+    /// Id of the session to resume; 0 requests a new one.
     pub session: i64,
-    /// Its password.
+    /// Password of the session.
     pub password: Vec<u8>,
 }
 
 impl Connect {
-    /// From a frame.
+    /// Decodes the record from the content of a frame.
     pub fn read(frame: &[u8]) -> Result<Self, ProtocolError> {
         let mut reader = Reader::new(frame);
         let _version = reader.int("protocolVersion")?;
@@ -105,7 +105,7 @@
         read_optional_read_only(&mut reader)?;
         Ok(Connect { last_zxid_seen, timeout, session, password })
     }
-    /// As a frame.
+    /// Encodes the record as a frame with its length prefix.
     pub fn framed(&self) -> Vec<u8> {
         let mut writer = Writer::default();
         writer
@@ -119,7 +119,7 @@
     }
 }
 
-/// Releases before 3.4 leave the last field out.
+/// Reads the last field, `readOnly`, which releases before 3.4 omit.
 fn read_optional_read_only(reader: &mut Reader<'_>) -> Result<(), ProtocolError> {
     if reader.remaining() > 0 {
         reader.flag("readOnly")?;
@@ -127,19 +127,19 @@
     reader.expect_end()
 }
 
-/// The answer to [`Connect`].
+/// The handshake response to [`Connect`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Connected {
-    /// Negotiated time-out, in ms; 0 or less: the session has expired.
+    /// Granted session time-out in ms; 0 or less if the session has expired.
     pub timeout: i32,
-    /// The session.
+    /// Id of the session.
     pub session: i64,
-    /// Its password.
+    /// Password of the session.
     pub password: Vec<u8>,
 }
 
 impl Connected {
-    /// From a frame.
+    /// Decodes the record from the content of a frame.
     pub fn read(frame: &[u8]) -> Result<Self, ProtocolError> {
         let mut reader = Reader::new(frame);
         let _version = reader.int("protocolVersion")?;
@@ -148,7 +148,7 @@
         read_optional_read_only(&mut reader)?;
         Ok(Connected { timeout, session, password })
     }
-    /// As a frame.
+    /// Encodes the record as a frame with its length prefix.
     pub fn framed(&self) -> Vec<u8> {
         let mut writer = Writer::default();
         writer.int(0).int(self.timeout).long(self.session).buffer(&self.password).flag(false);
--- a/crates/zookeeper/src/proto/request.rs
+++ b/crates/zookeeper/src/proto/request.rs
@@ -1,24 +1,24 @@
-//! Requests of a client: their operations and their bytes.
+//! The requests of a client, and their encoding and decoding.
 use super::codes::{Mode, Op, WatchMode};
 use super::records::Acl;
 use crate::error::ProtocolError;
 use crate::jute::{Reader, Writer};
 
-/// What a client shows to be let in.
+/// A credential with which a client authenticates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Credential {
-    /// How the secret is to be understood: `digest`, for one.
+    /// Authentication scheme that defines the secret, such as `digest`.
     pub scheme: String,
-    /// The secret.
+    /// The secret in the form of the scheme, such as `user:password`.
     pub secret: Vec<u8>,
 }
 
-/// Whether a read sets a one-time watch on what it reads.
+/// Whether a read request sets a one-time watch on what it reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Watch {
-    /// It does: the server reports the next change.
+    /// Sets a one-time watch: the server reports the next change.
     OneTime,
-    /// It does not.
+    /// Sets no watch.
     None,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether it is set.
+    /// Whether the request sets a watch.
     pub fn is_set(self) -> bool {
         self == Watch::OneTime
     }
@@ -40,53 +40,53 @@
 /// A request of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// Create a node; with `stat`, the response has its stat too.
+    /// Create a node.
     Create {
-        /// Its path; for a sequential node, what the number is put behind.
+        /// Path of the node; for a sequential node, the prefix to which the server appends a number.
         path: String,
-        /// Its data.
+        /// Data of the node.
         data: Vec<u8>,
-        /// Its ACL.
+        /// ACL of the node.
         acl: Vec<Acl>,
-        /// Its create mode.
+        /// Create mode of the node.
         mode: Mode,
-        /// Whether the response has its stat.
+        /// Whether the response includes the stat of the node.
         stat: bool,
     },
     /// Delete a node if it has this version (-1: any).
     Delete(String, i32),
-    /// Whether a node is there.
+    /// Read a node's stat, if the node exists.
     Exists(String, Watch),
-    /// A node's data.
+    /// Read a node's data and stat.
     GetData(String, Watch),
     /// Change a node's data if it has this version (-1: any).
     SetData(String, Vec<u8>, i32),
     /// Read a node's ACL.
     GetAcl(String),
-    /// Set a node's ACL if that has this version (-1: any).
+    /// Set a node's ACL if the ACL has this version (-1: any).
     SetAcl(String, Vec<Acl>, i32),
-    /// Names of children.
+    /// Read the names of a node's children.
     GetChildren(String, Watch),
-    /// Names of children and the node's stat.
+    /// Read the names of a node's children and the node's stat.
     GetChildren2(String, Watch),
-    /// Wait until the server has caught up.
+    /// Make the server catch up with the leader before it replies.
     Sync(String),
-    /// Check a node's version.
+    /// Check that a node has this version, as part of a multi.
     Check(String, i32),
-    /// Several of create, delete, set and check at once, all or none.
+    /// Execute several create, delete, set-data and check operations atomically.
     Multi(Vec<Request>),
-    /// Set watches again.
+    /// Restore watches on a new connection.
     SetWatches {
-        /// The last zxid seen: later changes are reported at once.
+        /// The last zxid that the client has seen; later changes are reported immediately.
         last_zxid_seen: i64,
-        /// On data, existence, children.
+        /// Paths of one-time watches on data, existence and children, in this order.
         one_time: [Vec<String>; 3],
-        /// Persistent ones, plain and recursive; without them, the older form is written.
+        /// Paths of persistent and of recursive watches, in this order; none selects the older `SetWatches` request.
         persistent: Option<[Vec<String>; 2]>,
     },
     /// Set a persistent watch.
     AddWatch(String, WatchMode),
-    /// Show a credential.
+    /// Authenticate with a credential.
     Auth(Credential),
     /// Heartbeat.
     Ping,
@@ -97,14 +97,14 @@
 /// A request as a server receives it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// The xid that the reply is to carry.
+    /// The xid that the reply must carry.
     pub xid: i32,
     /// The request.
     pub request: Request,
 }
 
 impl Request {
-    /// Its operation.
+    /// The operation type of the request.
     pub fn op(&self) -> Op {
         match self {
             Request::Create { stat: false, .. } => Op::Create,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The path it concerns, if it is one.
+    /// The path of the request, or none if it has no path or several.
     pub fn path(&self) -> Option<&str> {
         match self {
             Request::Create { path, .. } => Some(path),
@@ -148,7 +148,7 @@
         }
     }
 
-    /// As a frame under an xid.
+    /// Encodes the request as a frame with this xid.
     pub fn framed(&self, xid: i32) -> Vec<u8> {
         let mut writer = Writer::default();
         writer.int(xid).int(self.op() as i32);
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Reads the content of a frame.
+    /// Decodes a request from the content of a frame.
     pub fn read(frame: &[u8]) -> Result<ReceivedRequest, ProtocolError> {
         let mut reader = Reader::new(frame);
         let (xid, op) = (reader.int("xid")?, Op::read(reader.int("type")?)?);
--- a/crates/zookeeper/src/proto/response.rs
+++ b/crates/zookeeper/src/proto/response.rs
@@ -1,4 +1,4 @@
-//! Responses and watch events of a server: their bytes.
+//! The responses and watch events of a server, and their encoding and decoding.
 use super::codes::{Code, EventKind, Op, EVENT_XID};
 use super::records::{Acl, Stat};
 use crate::error::ProtocolError;
@@ -7,7 +7,7 @@
 /// The result of a successful request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
-    /// Success without a result.
+    /// Success without any data.
     Done,
     /// The path of the created or synced node; with its stat if that was requested.
     Path(String, Option<Stat>),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The response to this operation.
+    /// Decodes the response to a request of this operation type.
     pub fn read(op: Op, reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
         let response = Response::read_body(op, reader)?;
         reader.expect_end()?;
@@ -120,47 +120,47 @@
     }
 }
 
-/// What happened to a node that is watched, or to the session.
+/// A watch event: a change of a watched node or of the session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// What happened.
+    /// Type of the event.
     pub kind: EventKind,
-    /// The session's state: 3 connected, -112 expired, 4 credentials refused.
+    /// State of the session: 3 connected, -112 expired, 4 credentials rejected.
     pub state: i32,
-    /// The node.
+    /// Path of the node.
     pub path: String,
 }
 
-/// A frame that a server sends after the first one.
+/// A reply, which every frame after the handshake response is unless it is a watch event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// The xid of what it answers.
+    /// The xid of the request.
     pub xid: i32,
-    /// The last zxid that the server has seen; 0 or less: none is given.
+    /// The last zxid that the server has seen; 0 or less if the server gives none.
     pub zxid: i64,
-    /// What it holds.
+    /// The response, or the error of the server.
     pub body: Result<Response, Code>,
 }
 
-/// The head of a frame that a server sends after the first one.
+/// The header of every frame that a server sends after the handshake response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplyHead {
-    /// The xid of the request, or one of the reserved ones.
+    /// The xid of the request, or a reserved one such as [`EVENT_XID`].
     pub xid: i32,
-    /// The last zxid that the server has seen; 0 or less: none is given.
+    /// The last zxid that the server has seen; 0 or less if the server gives none.
     pub zxid: i64,
-    /// Why the request failed, if it did.
+    /// The error code if the request failed.
     pub error: Option<Code>,
 }
 
-/// Reads the head of a frame that a server sent. The rest is read by [`Response::read`] or [`read_event`].
+/// Reads the header of a frame from a server. [`Response::read`] or [`read_event`] reads the rest.
 pub fn read_reply_head(reader: &mut Reader<'_>) -> Result<ReplyHead, ProtocolError> {
     let (xid, zxid, error) = (reader.int("xid")?, reader.long("zxid")?, reader.int("err")?);
     let error = if error == 0 { None } else { Some(Code::read(error)?) };
     Ok(ReplyHead { xid, zxid, error })
 }
 
-/// Reads an event behind its head.
+/// Reads a watch event after its header.
 pub fn read_event(reader: &mut Reader<'_>) -> Result<Event, ProtocolError> {
     let kind = EventKind::read(reader.int("type")?)?;
     let event = Event { kind, state: reader.int("state")?, path: reader.text("path")?.into() };
@@ -169,7 +169,7 @@
 }
 
 impl Event {
-    /// As a frame.
+    /// Encodes the frame with its header and length prefix.
     pub fn framed(&self) -> Vec<u8> {
         let mut writer = Writer::default();
         writer.int(EVENT_XID).long(-1).int(0).int(self.kind as i32).int(self.state).text(&self.path);
@@ -178,7 +178,7 @@
 }
 
 impl Reply {
-    /// As a frame.
+    /// Encodes the frame with its header and length prefix.
     pub fn framed(&self) -> Vec<u8> {
         let mut writer = Writer::default();
         writer.int(self.xid).long(self.zxid);
--- a/crates/zookeeper/src/session.rs
+++ b/crates/zookeeper/src/session.rs
@@ -1,15 +1,15 @@
-//! A client's session as a state machine: which server to connect to and when, what to send, and how to handle a frame.
+//! A client session as a state machine: chooses servers, reconnects with backoff, sends requests and handles replies.
 //!
 //! The driver opens and closes connections and passes bytes; every decision is made here. States: disconnected (until
 //! the next attempt is due), connecting, handshaking (the session was requested), established, closing, closed.
-//! What a session guarantees:
+//! Guarantees of a session:
 //!
-//! * K1 Nothing of a frame that can't be read is believed: the connection is given up with a [`ProtocolError`].
-//! * K2 No reply of a server that lags behind the last zxid seen is accepted.
-//! * K3 Each request ends once: answered, or dropped with its connection (what became of it is unknown then).
-//! * K4 Requests on their way never exceed the window; one more is rejected as busy.
-//! * K5 A server that says nothing for two thirds of the time-out is given up for another, and so is one that answers
-//!   pings but not the oldest request for a full time-out.
+//! * K1 An invalid frame is discarded as a whole, and the connection is closed with a [`ProtocolError`].
+//! * K2 A reply with a zxid below the last zxid seen is not accepted.
+//! * K3 Each request in flight ends once: with a reply, or dropped with its connection and an unknown outcome.
+//! * K4 The number of requests in flight never exceeds the window; further requests are rejected as busy.
+//! * K5 The session disconnects from a server that sends nothing for two thirds of the session time-out, or that
+//!   does not reply to the oldest request for the full time-out although it answers pings.
 #[cfg(doc)]
 use crate::error::ProtocolError;
 use crate::proto::{self, Connect, Op, Request};
@@ -27,48 +27,49 @@
 pub use interface::{Input, Output, SessionConfig};
 use state::{InFlightRequest, SessionState};
 
-/// First pause between two attempts to connect; it doubles, and a random half of it is left out.
+/// Initial backoff between connection attempts. It doubles per attempt; the pause is a random 50 to 100 % of it.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest pause between two attempts to connect.
+/// Maximum backoff between connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Shortest time within which a connection must come up, and the session be established on it.
+/// Minimum time-out of a connection attempt, and of the handshake that follows it.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time for the same.
+/// Maximum time-out of a connection attempt, of the handshake, and of the reply to a close request.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long no server establishes the session, though all accept connections, until the last zxid is discarded: the
-/// service was put back to an older state, and would be refused for ever.
+/// Time without an established session, while servers accept connections but fail the handshake, after which the last
+/// zxid is discarded: a service restored to an older state would otherwise never be accepted again.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A session.
+/// A client session with one ensemble, across connections and servers.
 #[derive(Debug)]
 pub struct Session {
     config: SessionConfig,
     random: Pcg64Mcg,
     state: SessionState,
-    /// The servers in the order in which they are tried; after the last one they are shuffled again.
+    /// Server indexes in the order of the attempts; shuffled again after the last one.
     server_order: Vec<usize>,
+    /// Position in `server_order` of the next attempt.
     next_server: usize,
     backoff: Duration,
     id: i64,
     password: Vec<u8>,
     last_zxid: i64,
     timeout: Duration,
-    /// A frame that is not complete yet; at most one of the longest size and what was read with it.
+    /// Received bytes that do not form a complete frame yet, bounded by the maximum frame size and one read.
     input: Vec<u8>,
     xid: i32,
-    /// Requests on their way, at most [`SessionConfig::window`], in the order of their answers.
+    /// Requests in flight, at most [`SessionConfig::window`], in the order in which the server replies.
     in_flight: VecDeque<InFlightRequest>,
     unanswered_pings: u32,
     last_received_at: MonotonicTime,
     last_sent_at: MonotonicTime,
-    /// Since when no session is established on a connection.
+    /// Start of the period without an established session; none while it is established.
     disconnected_since: Option<MonotonicTime>,
-    /// Connections since then that ended during the handshake.
+    /// Number of connections since `disconnected_since` that ended during the handshake.
     failed_handshakes: usize,
 }
 
 impl Session {
-    /// A session that has not begun; the seed decides on the order of servers and on pauses.
+    /// Creates a disconnected session. `seed` determines the order of the servers and the backoff.
     pub fn new(config: SessionConfig, seed: u64) -> Self {
         let mut session = Session {
             server_order: (0..config.servers).collect(),
@@ -94,22 +95,22 @@
         session
     }
 
-    /// Its id; 0: none.
+    /// Id of the session; 0 if there is none.
     pub fn id(&self) -> i64 {
         self.id
     }
 
-    /// The last zxid seen.
+    /// The highest zxid in a reply of any server; 0 before the first reply or after a rollback.
     pub fn last_zxid(&self) -> i64 {
         self.last_zxid
     }
 
-    /// Whether it is established on a connection.
+    /// Whether the session is established on the current connection.
     pub fn is_established(&self) -> bool {
         self.state == SessionState::Established
     }
 
-    /// How many requests may be sent now.
+    /// Number of requests that fit into the window now; 0 while the session is not established.
     pub fn available_requests(&self) -> usize {
         if self.is_established() {
             self.config.window.saturating_sub(self.in_flight.len())
@@ -118,14 +119,14 @@
         }
     }
 
-    /// When a tick is wanted.
+    /// When the driver must next pass [`Input::Tick`]; none once the session is closed.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         match self.state {
             SessionState::Disconnected { due }
             | SessionState::Connecting { due }
             | SessionState::Handshaking { due }
             | SessionState::Closing { due } => Some(due),
-            // The service measures what the client sends: a client that receives much must send heartbeats all the same.
+            // The service expires sessions by what the client sends, so pings are due even while data is received.
             SessionState::Established => {
                 Some((self.last_sent_at + self.timeout / 3).min(self.silence_deadline()))
             }
@@ -133,14 +134,14 @@
         }
     }
 
-    /// When the server counts as silent.
+    /// The time at which the server is considered unresponsive (K5).
     fn silence_deadline(&self) -> MonotonicTime {
         let oldest =
             self.in_flight.front().map_or(MonotonicTime::MAX, |request| request.sent_at + self.timeout);
         (self.last_received_at + self.timeout * 2 / 3).min(oldest)
     }
 
-    /// Takes in what happened.
+    /// Handles an input and appends the outputs it causes.
     pub fn handle(&mut self, now: MonotonicTime, input: Input<'_>, out: &mut Vec<Output>) {
         match input {
             Input::Tick => self.tick(now, out),
@@ -190,7 +191,7 @@
             SessionState::Closing { .. } | SessionState::Closed => {}
             state => {
                 if !matches!(state, SessionState::Disconnected { .. }) {
-                    out.push(Output::Disconnect("it is closed".into()));
+                    out.push(Output::Disconnect("session closed".into()));
                 }
                 self.state = SessionState::Closed;
                 out.push(Output::Closed);
@@ -205,7 +206,7 @@
         self.xid
     }
 
-    /// Short enough that all other servers can be tried within the session time-out.
+    /// Time-out of a connection attempt: short enough to try all other servers within the session time-out.
     fn connect_timeout(&self) -> Duration {
         (self.timeout / (self.config.servers.max(1) as u32 + 1))
             .clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
@@ -236,13 +237,13 @@
                 out.push(Output::Connect(server));
             }
             SessionState::Connecting { due } if now >= due => {
-                self.disconnect(now, "no connection in time".into(), out);
+                self.disconnect(now, "connection attempt timed out".into(), out);
             }
             SessionState::Handshaking { due } if now >= due => {
-                self.disconnect(now, "no session in time".into(), out);
+                self.disconnect(now, "session handshake timed out".into(), out);
             }
             SessionState::Established if now >= self.silence_deadline() => {
-                self.disconnect(now, "it has gone silent".into(), out);
+                self.disconnect(now, "server stopped responding".into(), out);
             }
             SessionState::Established if now >= self.last_sent_at + self.timeout / 3 => {
                 self.last_sent_at = now;
@@ -251,13 +252,14 @@
             }
             SessionState::Closing { due } if now >= due => {
                 self.state = SessionState::Closed;
-                out.extend([Output::Disconnect("no answer to its close".into()), Output::Closed]);
+                out.extend([Output::Disconnect("no reply to the close request".into()), Output::Closed]);
             }
             _ => {}
         }
     }
 
-    /// Gives the zxid seen up where all servers have refused it for long.
+    /// Discards the last zxid and the session once handshakes have failed for [`ROLLBACK_TIMEOUT`], on average at least
+    /// twice per server.
     fn accept_rollback(&mut self, now: MonotonicTime, out: &mut Vec<Output>) {
         let timed_out = self.disconnected_since.is_some_and(|since| now >= since + ROLLBACK_TIMEOUT);
         if timed_out && self.last_zxid > 0 && self.failed_handshakes >= 2 * self.config.servers {
@@ -272,7 +274,7 @@
         self.password = vec![0; 16];
     }
 
-    /// Closes the connection from this side.
+    /// Asks the driver to close the connection and handles its loss.
     fn disconnect(&mut self, now: MonotonicTime, reason: String, out: &mut Vec<Output>) {
         out.push(Output::Disconnect(reason.clone()));
         self.connection_lost(now, reason, out);
@@ -292,7 +294,7 @@
         self.input = Vec::new();
         self.unanswered_pings = 0;
         out.extend(self.in_flight.drain(..).map(|request| Output::Dropped(request.token)));
-        // Danger: gateways that lost the same server at once must not connect to the next one at the same time.
+        // Random, so that gateways that lost the same server do not all connect to the next one at the same time.
         let max_pause_micros = duration_micros(self.backoff);
         let pause = Duration::from_micros(self.random.random_range(max_pause_micros / 2..=max_pause_micros));
         self.backoff = (2 * self.backoff).min(MAX_BACKOFF);
--- a/crates/zookeeper/src/session/interface.rs
+++ b/crates/zookeeper/src/session/interface.rs
@@ -1,78 +1,78 @@
-//! What a session takes in and gives out.
+//! The configuration, inputs and outputs of a session.
 use crate::proto::{Code, Credential, Event, Request, Response};
 use std::time::Duration;
 
-/// Configuration of a session.
+/// Configuration of a [`Session`](super::Session).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SessionConfig {
-    /// How many servers there are; they are identified by their index.
+    /// Number of servers in the ensemble; each is identified by its index.
     pub servers: usize,
-    /// Session time-out to request.
+    /// The session time-out to request; the server may grant another.
     pub timeout: Duration,
-    /// Credentials shown on each connection.
+    /// Credentials sent on each connection.
     pub credentials: Vec<Credential>,
-    /// Most requests on their way.
+    /// Maximum number of requests in flight.
     pub window: usize,
 }
 
-/// What happens to a session.
+/// An input from the driver.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A time named by [`Session::next_due`](super::Session::next_due) has come.
+    /// The time returned by [`Session::next_due`](super::Session::next_due) has been reached.
     Tick,
-    /// The connection has come up.
+    /// The requested connection is open.
     Connected,
-    /// Bytes came in on it.
+    /// Bytes were received on the connection.
     Bytes(&'a [u8]),
-    /// It is lost, or could not be opened.
+    /// The connection was lost or could not be opened, for this reason.
     ConnectionLost(&'a str),
-    /// A request under a token of the caller's.
+    /// Send a request; its outcome is reported with this token, which the caller chooses.
     Request(u64, Request),
-    /// The session is to end, with its ephemeral nodes.
+    /// Close the session, which deletes its ephemeral nodes.
     Close,
 }
 
-/// What is to be done, and what has become known.
+/// An action for the driver, or an event of the session.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Open a connection to the server at this place; any former one is gone.
+    /// Open a connection to the server with this index; any earlier connection has been closed.
     Connect(usize),
-    /// Write this.
+    /// Write these bytes to the connection.
     Write(Vec<u8>),
-    /// Close the connection; [`Input::ConnectionLost`] must not be given for it.
+    /// Close the connection, for this reason; do not pass [`Input::ConnectionLost`] for it.
     Disconnect(String),
     /// The session is established.
     Established {
-        /// Its id.
+        /// Id of the session.
         session: i64,
-        /// Whether it is a new session, without the nodes of an earlier one.
+        /// Whether the session is new, so that ephemeral nodes of an earlier one do not belong to it.
         fresh: bool,
-        /// Its time-out.
+        /// The session time-out granted by the server.
         timeout: Duration,
     },
-    /// The connection is lost. The state of the nodes is unknown until the next one.
+    /// The connection was lost, for this reason. The state of the nodes is unknown until the next connection.
     Suspended(String),
-    /// The service has ended the session; its ephemeral nodes are gone.
+    /// The service ended the session and deleted its ephemeral nodes.
     Expired,
-    /// No server knows the zxid seen any more; what is read next may be older than what was.
+    /// The last zxid was discarded because no server accepted it; the next reads may return older state than before.
     StateRolledBack,
-    /// Credentials were refused.
+    /// The server rejected one of the credentials.
     CredentialsRejected,
-    /// An answer.
+    /// The reply to a request.
     Response {
-        /// The caller's token.
+        /// The token passed with the request.
         token: u64,
-        /// The server's zxid.
+        /// The last zxid that the server had seen.
         zxid: i64,
-        /// What it answers.
+        /// The result of the request, or the error of the server.
         body: Result<Response, Code>,
     },
-    /// The connection broke before the answer: it may have been carried out.
+    /// The connection was lost before the reply to the request with this token; the request may have been executed.
     Dropped(u64),
-    /// There is no connection, or too much is on its way: it was not sent.
+    /// The request with this token was not sent: the session is not established or the window is full.
     Busy(u64),
-    /// A watch fired.
+    /// The server sent a watch event.
     WatchEvent(Event),
-    /// The session was closed in good order.
+    /// The session was closed on request.
     Closed,
 }
--- a/crates/zookeeper/src/session/replies.rs
+++ b/crates/zookeeper/src/session/replies.rs
@@ -1,4 +1,4 @@
-//! Frames of the server: the answer to the handshake, replies and watch events.
+//! Handles the frames of the server: the handshake response, replies and watch events.
 use super::{Output, Session, SessionState, INITIAL_BACKOFF};
 use crate::error::ProtocolError;
 use crate::jute::{self, Frame, Reader};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl Session {
-    /// Reads all complete frames of the input.
+    /// Handles all complete frames of the input buffer and keeps the incomplete rest.
     pub(super) fn read_frames(
         &mut self,
         now: MonotonicTime,
@@ -20,7 +20,7 @@
             match self.state {
                 SessionState::Handshaking { .. } => self.handle_handshake_response(now, content, out)?,
                 SessionState::Established | SessionState::Closing { .. } => self.read_reply(content, out)?,
-                // What follows the frame that ended it concerns nobody.
+                // Frames after the one that ended the connection are ignored.
                 _ => return Ok(()),
             }
         }
@@ -43,8 +43,8 @@
         if connected.timeout <= 0 || connected.session == 0 {
             self.discard_session();
             out.push(Output::Expired);
-            // Danger: a service that ends every session would otherwise get a new connection without a pause.
-            self.disconnect(now, "the session has expired".into(), out);
+            // Disconnects with backoff: a service that ends every session would otherwise be reconnected to at once.
+            self.disconnect(now, "session expired".into(), out);
             return Ok(());
         }
         let fresh = connected.session != self.id;
@@ -112,7 +112,7 @@
         if request.op == Op::Close {
             self.state = SessionState::Closed;
             self.discard_session();
-            out.extend([Output::Disconnect("it is closed".into()), Output::Closed]);
+            out.extend([Output::Disconnect("session closed".into()), Output::Closed]);
             return Ok(());
         }
         let expired = body == Err(Code::SessionExpired);
@@ -120,7 +120,7 @@
         if expired {
             self.discard_session();
             out.push(Output::Expired);
-            self.disconnect(self.last_received_at, "the session has expired".into(), out);
+            self.disconnect(self.last_received_at, "session expired".into(), out);
         }
         Ok(())
     }
--- a/crates/zookeeper/src/session/state.rs
+++ b/crates/zookeeper/src/session/state.rs
@@ -1,8 +1,9 @@
-//! The state of a session and its requests in flight.
+//! The state of a session and the record of a request in flight.
 use crate::proto::Op;
 use larchway::MonotonicTime;
 
-/// The state of the connection and the session; `due` is when it times out, or ends.
+/// The state of the connection and the session. `due` is the time of the next attempt when disconnected, and the
+/// deadline of the operation in the other states.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum SessionState {
     Disconnected { due: MonotonicTime },
@@ -18,7 +19,7 @@
 pub(super) struct InFlightRequest {
     pub(super) xid: i32,
     pub(super) op: Op,
-    /// The caller's token.
+    /// The token that the caller passed with the request.
     pub(super) token: u64,
     pub(super) sent_at: MonotonicTime,
 }
--- a/crates/zookeeper/tests/histories.rs
+++ b/crates/zookeeper/tests/histories.rs
@@ -1,4 +1,4 @@
-//! A client against the laboratory's ensemble in simulated time, through random histories of faults.
+//! Runs a client against the simulated ensemble of the lab, in simulated time and with random faults.
 use larchway::MonotonicTime;
 use larchway_lab::stand::ensemble::{Ensemble, SocketAction};
 use larchway_zookeeper::client::{Client, ClientConfig, ClientEvent, Input, Output, Registration};
@@ -18,9 +18,11 @@
     connection: Option<u64>,
     last_connection: u64,
     children: BTreeMap<String, Vec<u8>>,
-    /// Names that stood when the test last looked, and the zxid by which each was last found away.
+    /// Names of the children in the ensemble at the last check.
     present_names: BTreeSet<String>,
+    /// For each child deleted between two checks, the zxid of the ensemble at the later check.
     removal_zxids: BTreeMap<String, i64>,
+    /// For each reported child, the zxid of its last reported change.
     reported_zxids: BTreeMap<String, i64>,
     events: Vec<ClientEvent>,
 }
@@ -90,7 +92,7 @@
                 let mut out = Vec::new();
                 match action {
                     SocketAction::Write(connection, bytes) if Some(connection) == self.connection => {
-                        // In pieces, as a network may bring it.
+                        // In two chunks or more, since a network may split writes.
                         for chunk in bytes.chunks(1 + bytes.len() / 2) {
                             self.client.handle(self.now, Input::Bytes(chunk), &mut out);
                         }
@@ -113,20 +115,20 @@
                 self.reported_zxids.insert(name.clone(), stat.mzxid);
             }
             ClientEvent::ChildRemoved { name, .. } => {
-                // A server that lags behind tells of an end that the service has seen long ago.
+                // A lagging server may report a deletion long after the ensemble executed it.
                 let reported_zxid = self.reported_zxids[name];
                 assert!(
                     self.removal_zxids.get(name).is_some_and(|zxid| *zxid > reported_zxid),
-                    "A1: {name} was never away"
+                    "A1: {name} was not deleted after its last report"
                 );
-                assert!(self.children.remove(name).is_some(), "{name} was not reported");
+                assert!(self.children.remove(name).is_some(), "{name} was removed but is not in the cache");
             }
             _ => {}
         }
         self.events.push(event);
     }
 
-    /// Watches what the service holds, so that the test knows what was ever away.
+    /// Compares the children in the ensemble with the last check and records the zxid for those that were removed.
     fn record_removals(&mut self) {
         let present_names: BTreeSet<String> = self.stored_children().into_keys().collect();
         for name in self.present_names.difference(&present_names) {
@@ -195,7 +197,7 @@
     }
 }
 
-/// The same cases in every run; more of them, and others, by hand with PROPTEST_CASES and PROPTEST_RNG_SEED.
+/// Runs the same cases every time; PROPTEST_CASES and PROPTEST_RNG_SEED select more or other cases.
 fn deterministic_config(cases: u32) -> ProptestConfig {
     let seed = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(1);
     let cases = std::env::var("PROPTEST_CASES").ok().and_then(|s| s.parse().ok()).unwrap_or(cases);
@@ -228,8 +230,8 @@
 
 proptest! {
     #![proptest_config(deterministic_config(200))]
-    /// A1 to A4: whatever happened, no child is reported as removed that was not away, and once the service is well again
-    /// the cache equals the tree and the own node stands, once.
+    /// A1 to A4: under any faults, a child is reported as removed only if it was deleted. After the service recovers,
+    /// the cache equals the tree, and the own node exists and belongs to the session.
     #[test]
     fn the_cache_equals_the_tree_after_the_service_recovers(
         seed in any::<u64>(),
@@ -245,11 +247,11 @@
         simulation.restore_service();
         prop_assert_eq!(&simulation.children, &simulation.stored_children());
         prop_assert!(simulation.client.registered());
-        let Some(own) = simulation.ensemble.tree().get("/fleet/edge/n1") else { panic!("the own node is away: {:?}", simulation.events) };
+        let Some(own) = simulation.ensemble.tree().get("/fleet/edge/n1") else { panic!("the own node does not exist: {:?}", simulation.events) };
         prop_assert_eq!(own.stat.owner, simulation.client.session().id());
     }
 
-    /// The same history gives the same events.
+    /// The client is deterministic: the same seed and steps give the same events.
     #[test]
     fn the_same_history_gives_the_same_events(seed in any::<u64>(), steps in prop::collection::vec(step(), 1..20)) {
         let run_history = || {
@@ -260,7 +262,7 @@
         prop_assert_eq!(run_history(), run_history());
     }
 
-    /// K1: whatever bytes a server sends, the session neither panics nor tells of a node.
+    /// K1: a reply cut off and continued with random bytes neither panics nor yields an oversized list of children.
     #[test]
     fn corrupted_bytes_neither_panic_nor_report_oversized_lists(
         bytes in prop::collection::vec(any::<u8>(), 1..120),
@@ -270,19 +272,19 @@
         let reply = Reply { xid: 1, zxid: 5, body: Ok(Response::Children(vec!["a".into()], None)) }.framed();
         session.handle(time_at(2000), session::Input::Request(1, Request::GetChildren("/s".into(), Watch::None)), &mut out);
         out.clear();
-        // A frame whose answer is cut and gone on with in other bytes.
+        // A reply frame that is cut off and continued with other bytes.
         let corrupted = [&reply[..cut_at.min(reply.len() - 1)], &bytes].concat();
         session.handle(time_at(3000), session::Input::Bytes(&corrupted), &mut out);
         for output in &out {
             if let session::Output::Response { body: Ok(Response::Children(names, _)), .. } = output {
-                // It may by chance be whole; then it is of the form that was asked for.
+                // The random bytes may complete a valid reply; then it has the requested type.
                 prop_assert!(names.len() < 30);
             }
         }
     }
 }
 
-/// The moment so many microseconds after the earliest one.
+/// Returns the time this many microseconds after the earliest [`MonotonicTime`].
 fn time_at(micros: u64) -> MonotonicTime {
     MonotonicTime::from_micros(micros)
 }
@@ -337,7 +339,7 @@
         out.clear();
         session.handle(time_at(3000), session::Input::Bytes(&bytes), &mut out);
         assert!(out.contains(&session::Output::Disconnect(reason.clone())), "{reason}: {out:?}");
-        // K3: what was on its way has ended, and the pause before the next call is set.
+        // K3: all requests in flight have ended, and the next connection attempt is scheduled after a backoff.
         let ended = out
             .iter()
             .filter(|o| matches!(o, session::Output::Dropped(_) | session::Output::Response { .. }));
@@ -359,7 +361,7 @@
     let busy_outputs: Vec<_> = out.iter().filter(|o| matches!(o, session::Output::Busy(_))).collect();
     assert_eq!(busy_outputs, [&session::Output::Busy(4), &session::Output::Busy(5)], "K4");
     out.clear();
-    // A ping after a third of the time-out, another server after two thirds.
+    // A ping is sent after a third of the time-out; the session disconnects after two thirds.
     session.handle(time_at(1_002_000), session::Input::Tick, &mut out);
     assert_eq!(out, [session::Output::Write(Request::Ping.framed(proto::PING_XID))]);
     out.clear();
@@ -386,7 +388,11 @@
         simulation.handle_input(Input::ConnectionLost("restarted"));
     }
     simulation.advance(50_000 * MS);
-    assert_eq!(simulation.children.len(), 50, "a service that went back is refused for a while");
+    assert_eq!(
+        simulation.children.len(),
+        50,
+        "the older state must not be accepted before the rollback time-out"
+    );
     simulation.advance(40_000 * MS);
     assert!(simulation.events.contains(&ClientEvent::StateRolledBack));
     assert_eq!(simulation.children.keys().collect::<Vec<_>>(), ["s1"]);
@@ -411,9 +417,9 @@
     simulation.ensemble.servers[0].lag = 50;
     simulation.ensemble.take(simulation.now.as_micros(), "/stores/s1");
     simulation.advance(100 * MS);
-    assert!(simulation.children.contains_key("s1"), "its server does not know yet");
+    assert!(simulation.children.contains_key("s1"), "the lagging server has not applied the deletion yet");
     simulation.advance(500 * MS);
-    assert!(!simulation.children.contains_key("s1"), "A5");
+    assert!(!simulation.children.contains_key("s1"), "A5: the sync must make the server catch up");
 }
 
 #[test]
@@ -431,8 +437,8 @@
     simulation.advance(500 * MS);
     assert!(simulation.client.registered());
     simulation.handle_input(Input::Data(b"moved".to_vec()));
-    assert_eq!(simulation.ensemble.tree().get("/fleet/n1").expect("it stands").data, b"moved");
-    // Another client without them is refused.
+    assert_eq!(simulation.ensemble.tree().get("/fleet/n1").expect("the own node exists").data, b"moved");
+    // A client without the credentials is rejected.
     simulation.ensemble.accept(99, 0);
     let connect = proto::Connect { timeout: 1000, ..proto::Connect::default() };
     simulation.ensemble.receive(simulation.now.as_micros(), 99, &connect.framed());
--- a/crates/zookeeper/tests/records.rs
+++ b/crates/zookeeper/tests/records.rs
@@ -1,4 +1,4 @@
-//! The records: what is written is read back, and what is spoilt is refused by name.
+//! Encoding and decoding of records: round trips, and errors on invalid bytes.
 use larchway_zookeeper::error::ProtocolError;
 use larchway_zookeeper::jute::{frame, Frame, Reader};
 use larchway_zookeeper::proto::*;
@@ -108,7 +108,7 @@
     ]
 }
 
-/// The same cases in every run.
+/// Runs the same cases every time.
 fn deterministic_config() -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(1);
     ProptestConfig { rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -119,11 +119,11 @@
     #[test]
     fn requests_round_trip(xid in any::<i32>(), request in request()) {
         let bytes = request.framed(xid);
-        let Frame { content, length } = frame(&bytes).expect("a frame").expect("a complete one");
+        let Frame { content, length } = frame(&bytes).expect("valid frame").expect("complete frame");
         prop_assert_eq!(length, bytes.len());
         prop_assert_eq!(Request::read(content), Ok(ReceivedRequest { xid, request }));
         for end in 0..content.len() {
-            prop_assert!(Request::read(&content[..end]).is_err(), "cut at {}", end);
+            prop_assert!(Request::read(&content[..end]).is_err(), "truncated at {}", end);
         }
         prop_assert!(Request::read(&[content, &[0]].concat()).is_err());
     }
@@ -131,12 +131,12 @@
     #[test]
     fn responses_round_trip(xid in 1..i32::MAX, zxid in any::<i64>(), (op, response) in response()) {
         let bytes = Reply { xid, zxid, body: Ok(response.clone()) }.framed();
-        let Frame { content, .. } = frame(&bytes).expect("a frame").expect("a complete one");
+        let Frame { content, .. } = frame(&bytes).expect("valid frame").expect("complete frame");
         let mut reader = Reader::new(content);
         prop_assert_eq!(read_reply_head(&mut reader), Ok(ReplyHead { xid, zxid, error: None }));
         prop_assert_eq!(Response::read(op, &mut reader), Ok(response));
         for end in 16..content.len() {
-            prop_assert!(Response::read(op, &mut Reader::new(&content[16..end])).is_err(), "cut at {}", end);
+            prop_assert!(Response::read(op, &mut Reader::new(&content[16..end])).is_err(), "truncated at {}", end);
         }
     }
 
--- a/crates/zookeeper/tests/wire_format.rs
+++ b/crates/zookeeper/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of each record on the wire, written down: they are the published protocol and do not change.
+//! Compares the encoding of each record with recorded bytes: the published protocol must not change.
 use larchway_zookeeper::proto::*;
 
 fn hex(bytes: &[u8]) -> String {
