--- a/crates/zookeeper/src/proto/request.rs
+++ b/crates/zookeeper/src/proto/request.rs
@@ -1,29 +1,29 @@
-//! Requests of a client: their operations and their bytes.
+//! The requests of a client, and their encoding and decoding.
 use super::codes::{Mode, Op, WatchMode};
 use super::records::Acl;
 use crate::error::ProtocolError;
 use crate::jute::{Reader, Writer};
 
-/// What a client shows to be let in.
+/// A credential with which a client authenticates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Credential {
-    /// How the secret is to be understood: `digest`, for one.
+    /// Authentication scheme that defines the secret, such as `digest`.
     pub scheme: String,
-    /// The secret.
+    /// The secret in the form of the scheme, such as `user:password`.
     pub secret: Vec<u8>,
 }
 
-/// Whether a read sets a one-time watch on what it reads.
+/// Whether a read request sets a one-time watch on what it reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Watch {
-    /// It does: the server reports the next change.
+    /// Sets a one-time watch: the server reports the next change.
     OneTime,
-    /// It does not.
+    /// Sets no watch.
     None,
 }
 
 impl Watch {
-    fn of_flag(is_set: bool) -> Self {
+    fn from_flag(is_set: bool) -> Self {
         if is_set {
             Watch::OneTime
         } else {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether it is set.
+    /// Whether the request sets a watch.
     pub fn is_set(self) -> bool {
         self == Watch::OneTime
     }
@@ -40,53 +40,53 @@
 /// A request of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// Create a node; with `stat`, the response has its stat too.
+    /// Create a node.
     Create {
-        /// Its path; for a sequential node, what the number is put behind.
+        /// Path of the node; for a sequential node, the prefix to which the server appends a number.
         path: String,
-        /// Its data.
+        /// Data of the node.
         data: Vec<u8>,
-        /// Its ACL.
+        /// ACL of the node.
         acl: Vec<Acl>,
-        /// Its create mode.
+        /// Create mode of the node.
         mode: Mode,
-        /// Whether the response has its stat.
+        /// Whether the response includes the stat of the node.
         stat: bool,
     },
     /// Delete a node if it has this version (-1: any).
     Delete(String, i32),
-    /// Whether a node is there.
+    /// Read a node's stat, if the node exists.
     Exists(String, Watch),
-    /// A node's data.
+    /// Read a node's data and stat.
     GetData(String, Watch),
     /// Change a node's data if it has this version (-1: any).
     SetData(String, Vec<u8>, i32),
     /// Read a node's ACL.
     GetAcl(String),
-    /// Set a node's ACL if that has this version (-1: any).
+    /// Set a node's ACL if the ACL has this version (-1: any).
     SetAcl(String, Vec<Acl>, i32),
-    /// Names of children.
+    /// Read the names of a node's children.
     GetChildren(String, Watch),
-    /// Names of children and the node's stat.
+    /// Read the names of a node's children and the node's stat.
     GetChildren2(String, Watch),
-    /// Wait until the server has caught up.
+    /// Make the server catch up with the leader before it replies.
     Sync(String),
-    /// Check a node's version.
+    /// Check that a node has this version, as part of a multi.
     Check(String, i32),
-    /// Several of create, delete, set and check at once, all or none.
+    /// Execute several create, delete, set-data and check operations atomically.
     Multi(Vec<Request>),
-    /// Set watches again.
+    /// Restore watches on a new connection.
     SetWatches {
-        /// The last zxid seen: later changes are reported at once.
-        seen: i64,
-        /// On data, existence, children.
-        once: [Vec<String>; 3],
-        /// Persistent ones, plain and recursive; without them, the older form is written.
-        lasting: Option<[Vec<String>; 2]>,
+        /// The last zxid that the client has seen; later changes are reported immediately.
+        last_zxid_seen: i64,
+        /// Paths of one-time watches on data, existence and children, in this order.
+        one_time: [Vec<String>; 3],
+        /// Paths of persistent and of recursive watches, in this order; none selects the older `SetWatches` request.
+        persistent: Option<[Vec<String>; 2]>,
     },
     /// Set a persistent watch.
     AddWatch(String, WatchMode),
-    /// Show a credential.
+    /// Authenticate with a credential.
     Auth(Credential),
     /// Heartbeat.
     Ping,
@@ -97,14 +97,14 @@
 /// A request as a server receives it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// The xid that the reply is to carry.
+    /// The xid that the reply must carry.
     pub xid: i32,
     /// The request.
     pub request: Request,
 }
 
 impl Request {
-    /// Its operation.
+    /// The operation type of the request.
     pub fn op(&self) -> Op {
         match self {
             Request::Create { stat: false, .. } => Op::Create,
@@ -120,7 +120,7 @@
             Request::Sync(_) => Op::Sync,
             Request::Check(..) => Op::Check,
             Request::Multi(_) => Op::Multi,
-            Request::SetWatches { lasting: None, .. } => Op::SetWatches,
+            Request::SetWatches { persistent: None, .. } => Op::SetWatches,
             Request::SetWatches { .. } => Op::SetWatches2,
             Request::AddWatch(..) => Op::AddWatch,
             Request::Auth(..) => Op::Auth,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The path it concerns, if it is one.
+    /// The path of the request, or none if it has no path or several.
     pub fn path(&self) -> Option<&str> {
         match self {
             Request::Create { path, .. } => Some(path),
@@ -148,110 +148,121 @@
         }
     }
 
-    /// As a frame under an xid.
+    /// Encodes the request as a frame with this xid.
     pub fn framed(&self, xid: i32) -> Vec<u8> {
-        let mut w = Writer::default();
-        w.int(xid).int(self.op() as i32);
-        self.write(&mut w);
-        w.framed()
+        let mut writer = Writer::default();
+        writer.int(xid).int(self.op() as i32);
+        self.write(&mut writer);
+        writer.framed()
     }
 
-    fn write(&self, w: &mut Writer) {
+    fn write(&self, writer: &mut Writer) {
         match self {
             Request::Create { path, data, acl, mode, .. } => {
-                w.text(path).buffer(data).vector(acl, Acl::write).int(*mode as i32);
+                writer.text(path).buffer(data).vector(acl, Acl::write).int(*mode as i32);
             }
             Request::Delete(path, version) | Request::Check(path, version) => {
-                w.text(path).int(*version);
+                writer.text(path).int(*version);
             }
             Request::Exists(path, watch)
             | Request::GetData(path, watch)
             | Request::GetChildren(path, watch)
             | Request::GetChildren2(path, watch) => {
-                w.text(path).flag(watch.is_set());
+                writer.text(path).flag(watch.is_set());
             }
             Request::SetData(path, data, version) => {
-                w.text(path).buffer(data).int(*version);
+                writer.text(path).buffer(data).int(*version);
             }
             Request::GetAcl(path) | Request::Sync(path) => {
-                w.text(path);
+                writer.text(path);
             }
             Request::SetAcl(path, acl, version) => {
-                w.text(path).vector(acl, Acl::write).int(*version);
+                writer.text(path).vector(acl, Acl::write).int(*version);
             }
-            Request::Multi(all) => {
-                for one in all {
-                    w.int(one.op() as i32).flag(false).int(-1);
-                    one.write(w);
+            Request::Multi(operations) => {
+                for operation in operations {
+                    writer.int(operation.op() as i32).flag(false).int(-1);
+                    operation.write(writer);
                 }
-                w.int(-1).flag(true).int(-1);
+                writer.int(-1).flag(true).int(-1);
             }
-            Request::SetWatches { seen, once, lasting } => {
-                w.long(*seen);
-                for paths in once.iter().chain(lasting.iter().flatten()) {
-                    w.vector(paths, |w, p| {
-                        w.text(p);
+            Request::SetWatches { last_zxid_seen, one_time, persistent } => {
+                writer.long(*last_zxid_seen);
+                for paths in one_time.iter().chain(persistent.iter().flatten()) {
+                    writer.vector(paths, |writer, path| {
+                        writer.text(path);
                     });
                 }
             }
             Request::AddWatch(path, mode) => {
-                w.text(path).int(*mode as i32);
+                writer.text(path).int(*mode as i32);
             }
             Request::Auth(Credential { scheme, secret }) => {
-                w.int(0).text(scheme).buffer(secret);
+                writer.int(0).text(scheme).buffer(secret);
             }
             Request::Ping | Request::Close => {}
         }
     }
 
-    /// Reads the content of a frame.
+    /// Decodes a request from the content of a frame.
     pub fn read(frame: &[u8]) -> Result<ReceivedRequest, ProtocolError> {
-        let mut r = Reader::new(frame);
-        let (xid, op) = (r.int("xid")?, Op::read(r.int("type")?)?);
-        let request = Request::body(op, &mut r)?;
-        r.end()?;
+        let mut reader = Reader::new(frame);
+        let (xid, op) = (reader.int("xid")?, Op::read(reader.int("type")?)?);
+        let request = Request::read_body(op, &mut reader)?;
+        reader.expect_end()?;
         Ok(ReceivedRequest { xid, request })
     }
 
-    fn body(op: Op, r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
-        let paths = |r: &mut Reader<'_>| r.vector("watches", 4, |r| r.text("path").map(String::from));
-        let watched =
-            |r: &mut Reader<'_>| Ok((r.text("path")?.to_string(), Watch::of_flag(r.flag("watch")?)));
-        let rights = |r: &mut Reader<'_>| r.vector("acl", 12, Acl::read);
-        let path = |r: &mut Reader<'_>| r.text("path").map(String::from);
+    fn read_body(op: Op, reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+        let read_paths = |reader: &mut Reader<'_>| {
+            reader.vector("watches", 4, |reader| reader.text("path").map(String::from))
+        };
+        let read_path_and_watch = |reader: &mut Reader<'_>| {
+            Ok((reader.text("path")?.to_string(), Watch::from_flag(reader.flag("watch")?)))
+        };
+        let read_acl = |reader: &mut Reader<'_>| reader.vector("acl", 12, Acl::read);
+        let read_path = |reader: &mut Reader<'_>| reader.text("path").map(String::from);
         Ok(match op {
             Op::Create | Op::Create2 => Request::Create {
-                path: path(r)?,
-                data: r.buffer("data")?.unwrap_or_default().to_vec(),
-                acl: rights(r)?,
-                mode: Mode::read(r.int("flags")?)?,
+                path: read_path(reader)?,
+                data: reader.buffer("data")?.unwrap_or_default().to_vec(),
+                acl: read_acl(reader)?,
+                mode: Mode::read(reader.int("flags")?)?,
                 stat: op == Op::Create2,
             },
-            Op::Delete => Request::Delete(path(r)?, r.int("version")?),
-            Op::Check => Request::Check(path(r)?, r.int("version")?),
-            Op::Exists => watched(r).map(|(p, w)| Request::Exists(p, w))?,
-            Op::GetData => watched(r).map(|(p, w)| Request::GetData(p, w))?,
-            Op::GetChildren => watched(r).map(|(p, w)| Request::GetChildren(p, w))?,
-            Op::GetChildren2 => watched(r).map(|(p, w)| Request::GetChildren2(p, w))?,
+            Op::Delete => Request::Delete(read_path(reader)?, reader.int("version")?),
+            Op::Check => Request::Check(read_path(reader)?, reader.int("version")?),
+            Op::Exists => read_path_and_watch(reader).map(|(path, watch)| Request::Exists(path, watch))?,
+            Op::GetData => read_path_and_watch(reader).map(|(path, watch)| Request::GetData(path, watch))?,
+            Op::GetChildren => {
+                read_path_and_watch(reader).map(|(path, watch)| Request::GetChildren(path, watch))?
+            }
+            Op::GetChildren2 => {
+                read_path_and_watch(reader).map(|(path, watch)| Request::GetChildren2(path, watch))?
+            }
             Op::SetData => {
-                let (path, data) = (path(r)?, r.buffer("data")?.unwrap_or_default().to_vec());
-                Request::SetData(path, data, r.int("version")?)
+                let (path, data) = (read_path(reader)?, reader.buffer("data")?.unwrap_or_default().to_vec());
+                Request::SetData(path, data, reader.int("version")?)
             }
-            Op::GetAcl => Request::GetAcl(path(r)?),
-            Op::Sync => Request::Sync(path(r)?),
-            Op::SetAcl => Request::SetAcl(path(r)?, rights(r)?, r.int("version")?),
-            Op::Multi => Request::read_multi(r)?,
+            Op::GetAcl => Request::GetAcl(read_path(reader)?),
+            Op::Sync => Request::Sync(read_path(reader)?),
+            Op::SetAcl => Request::SetAcl(read_path(reader)?, read_acl(reader)?, reader.int("version")?),
+            Op::Multi => Request::read_multi(reader)?,
             Op::SetWatches | Op::SetWatches2 => {
-                let seen = r.long("relativeZxid")?;
-                let once = [paths(r)?, paths(r)?, paths(r)?];
-                let lasting = if op == Op::SetWatches2 { Some([paths(r)?, paths(r)?]) } else { None };
-                Request::SetWatches { seen, once, lasting }
+                let last_zxid_seen = reader.long("relativeZxid")?;
+                let one_time = [read_paths(reader)?, read_paths(reader)?, read_paths(reader)?];
+                let persistent = if op == Op::SetWatches2 {
+                    Some([read_paths(reader)?, read_paths(reader)?])
+                } else {
+                    None
+                };
+                Request::SetWatches { last_zxid_seen, one_time, persistent }
             }
-            Op::AddWatch => Request::AddWatch(path(r)?, WatchMode::read(r.int("mode")?)?),
+            Op::AddWatch => Request::AddWatch(read_path(reader)?, WatchMode::read(reader.int("mode")?)?),
             Op::Auth => {
-                let _kind = r.int("type")?;
-                let scheme = r.text("scheme")?.into();
-                let secret = r.buffer("auth")?.unwrap_or_default().to_vec();
+                let _kind = reader.int("type")?;
+                let scheme = reader.text("scheme")?.into();
+                let secret = reader.buffer("auth")?.unwrap_or_default().to_vec();
                 Request::Auth(Credential { scheme, secret })
             }
             Op::Ping => Request::Ping,
@@ -259,16 +270,16 @@
         })
     }
 
-    fn read_multi(r: &mut Reader<'_>) -> Result<Self, ProtocolError> {
+    fn read_multi(reader: &mut Reader<'_>) -> Result<Self, ProtocolError> {
         let mut operations = Vec::new();
         loop {
-            let (op, done, _) = (r.int("type")?, r.flag("done")?, r.int("err")?);
+            let (op, done, _) = (reader.int("type")?, reader.flag("done")?, reader.int("err")?);
             if done {
                 return Ok(Request::Multi(operations));
             }
             match Op::read(op)? {
                 op @ (Op::Create | Op::Create2 | Op::Delete | Op::SetData | Op::Check) => {
-                    operations.push(Request::body(op, r)?);
+                    operations.push(Request::read_body(op, reader)?);
                 }
                 op => return Err(ProtocolError::UnknownValue("operation within multi", op as i32)),
             }
